--- a/lib/src/gateway/peer_book.rs
+++ b/lib/src/gateway/peer_table.rs
@@ -16,12 +16,12 @@
 use crate::gateway::account_limits::ShareView;
 use crate::gateway::backend_record::BackendId;
 use crate::gateway::document_transfer::DocumentSource;
-use crate::gateway::peer_news::BackendUse;
-use crate::gateway::peer_news::ConfigEcho;
-use crate::gateway::peer_news::GatewayNews;
-use crate::gateway::peer_news::HubView;
-use crate::gateway::peer_news::ServiceWork;
-use crate::gateway::vm_strength::VmStrength;
+use crate::gateway::hub_capacity::HubCapacity;
+use crate::gateway::peer_gossip::BackendUse;
+use crate::gateway::peer_gossip::FreshnessEcho;
+use crate::gateway::peer_gossip::GatewayGossip;
+use crate::gateway::peer_gossip::HubView;
+use crate::gateway::peer_gossip::ServiceDemand;
 use crate::id::EntryName;
 use crate::id::FenceToken;
 use crate::id::Incarnation;
@@ -57,7 +57,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// How much it can carry as a hub.
-    pub strength: VmStrength,
+    pub strength: HubCapacity,
     /// Its newest life, once it was heard.
     pub incarnation: Option<Incarnation>,
     /// When it was last heard, or first listed.
@@ -74,7 +74,7 @@
     leaving: bool,
     fence: Option<FenceToken>,
     uses: Vec<BackendUse>,
-    work: Vec<ServiceWork>,
+    work: Vec<ServiceDemand>,
     told_at: Option<Timestamp>,
     wants_digest: bool,
     view: Option<(Timestamp, HubView)>,
@@ -92,7 +92,7 @@
 }
 
 impl PeerState {
-    fn listed(now: Timestamp, address: SocketAddr, strength: VmStrength) -> Self {
+    fn listed(now: Timestamp, address: SocketAddr, strength: HubCapacity) -> Self {
         Self {
             address,
             strength,
@@ -153,18 +153,18 @@
     /// It hears no other, and gives itself its own part.
     Own {
         /// One part of all.
-        part: f64,
+        fraction: f64,
     },
     /// It gives to the entries that it answers each round.
-    Answered {
+    Subscribers {
         /// Their part of all.
-        part: f64,
+        fraction: f64,
     },
 }
 
 /// What an entry is told of what servers said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoticeOffer {
+pub enum ReportOffer {
     /// Nothing: it knows the same.
     Nothing,
     /// What changed a moment ago.
@@ -193,35 +193,35 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether it is to answer with a digest each round.
-    pub wants_digest: bool,
+    pub wants_summary: bool,
     /// Whether the sender's own news go to it as to a hub.
-    pub tells: bool,
+    pub reports_state: bool,
     /// Whether it gets a digest.
-    pub digest: bool,
+    pub has_summary: bool,
     /// Whether its link hangs and is to be opened anew.
     pub reopen: bool,
 }
 
 /// The other entries.
 #[derive(Clone, Debug)]
-pub struct PeerBook {
+pub struct PeerTable {
     own: EntryName,
-    own_strength: VmStrength,
+    own_strength: HubCapacity,
     peers: BTreeMap<EntryName, PeerState>,
     is_listed: bool,
 }
 
 /// Hubs come in this order: the strongest first, then by hash.
-type OrderKey<'a> = (Reverse<VmStrength>, u64, &'a EntryName);
+type OrderKey<'a> = (Reverse<HubCapacity>, u64, &'a EntryName);
 
-fn order_key(name: &EntryName, strength: VmStrength) -> OrderKey<'_> {
+fn order_key(name: &EntryName, strength: HubCapacity) -> OrderKey<'_> {
     let hash = XxHash64::oneshot(0, name.as_str().as_bytes());
     (Reverse(strength), hash, name)
 }
 
-impl PeerBook {
+impl PeerTable {
     /// Returns a book of an entry that knows no other.
-    pub fn new(own: EntryName, own_strength: VmStrength) -> Self {
+    pub fn new(own: EntryName, own_strength: HubCapacity) -> Self {
         Self {
             own,
             own_strength,
@@ -237,7 +237,7 @@
         now: Timestamp,
         name: EntryName,
         address: SocketAddr,
-        strength: VmStrength,
+        strength: HubCapacity,
     ) {
         if name == self.own {
             return;
@@ -257,17 +257,17 @@
     }
 
     /// Returns whether the store's list of entries was read.
-    pub fn is_listed(&self) -> bool {
+    pub fn is_list_read(&self) -> bool {
         self.is_listed
     }
 
     /// Notes a message. One that is older than the last one of the same life
     /// changes nothing.
-    pub fn note_news(&mut self, now: Timestamp, news: &GatewayNews) -> HeardLife {
+    pub fn apply_gossip(&mut self, now: Timestamp, news: &GatewayGossip) -> HeardLife {
         if news.name == self.own {
             return HeardLife::Known;
         }
-        self.note_listed(now, news.name.clone(), news.address, news.strength);
+        self.note_listed(now, news.name.clone(), news.address, news.hub_capacity);
         let Some(peer) = self.peers.get_mut(&news.name) else {
             return HeardLife::Known;
         };
@@ -276,7 +276,7 @@
             return HeardLife::Known;
         }
         if let HeardLife::New { .. } = life {
-            *peer = PeerState::listed(now, news.address, news.strength);
+            *peer = PeerState::listed(now, news.address, news.hub_capacity);
             peer.incarnation = Some(news.incarnation);
         }
         peer.heard_at = now;
@@ -285,16 +285,16 @@
         peer.their_time = news.sent_at;
         peer.revision = news.revision;
         peer.answers_pulls = news.answers_pulls;
-        peer.takes_changes = news.takes_changes;
+        peer.takes_changes = news.accepts_changes;
         peer.backends_hash = news.backends_hash;
-        peer.notices_hash = news.notices_hash;
-        peer.leaving = news.leaving;
+        peer.notices_hash = news.reports_hash;
+        peer.leaving = news.draining;
         peer.fence = news.fence;
-        if news.tells {
+        if news.reports_state {
             peer.told_at = Some(now);
-            peer.wants_digest = news.wants_digest;
-            peer.uses.clone_from(&news.uses);
-            peer.work.clone_from(&news.work);
+            peer.wants_digest = news.wants_summary;
+            peer.uses.clone_from(&news.backend_loads);
+            peer.work.clone_from(&news.service_demand);
         }
         if let Some(view) = &news.view {
             peer.view = Some((now, view.clone()));
@@ -309,13 +309,13 @@
         name: &EntryName,
         config_at: Option<Timestamp>,
         backends_at: Option<Timestamp>,
-    ) -> Option<ConfigEcho> {
+    ) -> Option<FreshnessEcho> {
         let peer = self.peers.get(name)?;
         let age = |at: Timestamp| peer.heard_at.0 as i64 - at.0 as i64;
-        Some(ConfigEcho {
+        Some(FreshnessEcho {
             incarnation: peer.incarnation?,
             sent_at: peer.their_time,
-            age: config_at.map(age),
+            config_age: config_at.map(age),
             backends_age: backends_at.map(age),
             fence: peer.fence,
         })
@@ -352,7 +352,7 @@
 
     /// Returns the messages that are due in a round, and notes that they are
     /// sent.
-    pub fn due(&mut self, now: Timestamp, round: u32) -> Vec<DueMessage> {
+    pub fn take_due_messages(&mut self, now: Timestamp, round: u32) -> Vec<DueMessage> {
         let slow = round.is_multiple_of(SLOW_ROUNDS);
         let hubs = self.hubs(now);
         let primary = self.primary(&hubs);
@@ -376,9 +376,9 @@
             due.push(DueMessage {
                 name: name.clone(),
                 address: peer.address,
-                wants_digest: primary.as_ref() == Some(name),
-                tells,
-                digest,
+                wants_summary: primary.as_ref() == Some(name),
+                reports_state: tells,
+                has_summary: digest,
                 reopen,
             });
         }
@@ -391,7 +391,7 @@
         let Some(peer) = self.peers.get_mut(&message.name) else {
             return;
         };
-        peer.owes_digest |= message.digest;
+        peer.owes_digest |= message.has_summary;
         peer.unanswered_since.take_if(|since| *since == now);
     }
 
@@ -412,31 +412,31 @@
 
     /// Returns what an entry is to be told of what servers said, where the own
     /// knowledge has that digest.
-    pub fn offer_notices(&mut self, now: Timestamp, name: &EntryName, digest: u64) -> NoticeOffer {
+    pub fn offer_reports(&mut self, now: Timestamp, name: &EntryName, digest: u64) -> ReportOffer {
         let Some(peer) = self.peers.get_mut(name) else {
-            return NoticeOffer::Nothing;
+            return ReportOffer::Nothing;
         };
         if peer.notices_hash == digest {
             peer.notices_differ_since = None;
-            return NoticeOffer::Nothing;
+            return ReportOffer::Nothing;
         }
         let since = *peer.notices_differ_since.get_or_insert(now);
         let is_due = peer
             .notices_sent_at
             .is_none_or(|sent_at| now.since(since.max(sent_at)) >= NOTICES_PATIENCE);
         if !is_due {
-            return NoticeOffer::Recent;
+            return ReportOffer::Recent;
         }
         peer.notices_sent_at = Some(now);
-        NoticeOffer::All
+        ReportOffer::All
     }
 
     /// Iterates over the entries that this one answers each round, with the work
     /// that callers bring them.
-    pub fn answered_each_round(
+    pub fn subscribers(
         &self,
         now: Timestamp,
-    ) -> impl Iterator<Item = (&EntryName, &[ServiceWork])> {
+    ) -> impl Iterator<Item = (&EntryName, &[ServiceDemand])> {
         let asking = self.peers.iter();
         let asking = asking.filter(move |(_, peer)| peer.wants_digest && peer.tells(now));
         asking.map(|(name, peer)| (name, peer.work.as_slice()))
@@ -445,7 +445,7 @@
     /// Returns whom this entry gives permits, and its part of each limit. Before
     /// it knows how many others there are, any part may be too much.
     pub fn permit_share(&self, now: Timestamp) -> PermitShare {
-        let view = self.share_view(now);
+        let view = self.entry_counts(now);
         let told = self
             .peers
             .values()
@@ -454,14 +454,14 @@
             return PermitShare::Nobody;
         }
         let entries = view.entries.max(1) as f64;
-        if view.heard <= 1 {
+        if view.reachable <= 1 {
             return PermitShare::Own {
-                part: 1.0 / entries,
+                fraction: 1.0 / entries,
             };
         }
-        let answered = self.answered_each_round(now).count() as f64;
-        PermitShare::Answered {
-            part: answered / entries,
+        let answered = self.subscribers(now).count() as f64;
+        PermitShare::Subscribers {
+            fraction: answered / entries,
         }
     }
 
@@ -489,7 +489,7 @@
     }
 
     /// Returns the hubs with their addresses, to be passed on.
-    pub fn hub_addresses(&self, now: Timestamp) -> Vec<(EntryName, SocketAddr, VmStrength)> {
+    pub fn hub_addresses(&self, now: Timestamp) -> Vec<(EntryName, SocketAddr, HubCapacity)> {
         let hubs = self.hubs(now);
         let known = |name: EntryName| {
             let peer = self.peers.get(&name)?;
@@ -500,7 +500,7 @@
     }
 
     /// Returns how many entries that may be hubs come before this one.
-    pub fn rank(&self, now: Timestamp) -> usize {
+    pub fn hub_rank(&self, now: Timestamp) -> usize {
         let own = order_key(&self.own, self.own_strength);
         let earlier = |name, peer: &PeerState| order_key(name, peer.strength) < own;
         let before = self.peers.iter().filter(|(name, peer)| earlier(name, peer));
@@ -527,30 +527,30 @@
 
     /// Returns how many entries share limits, and how many are heard, by this
     /// entry itself or by the hub that hears the most.
-    pub fn share_view(&self, now: Timestamp) -> ShareView {
-        let own = self.direct_view(now);
+    pub fn entry_counts(&self, now: Timestamp) -> ShareView {
+        let own = self.direct_entry_counts(now);
         let views = self.peers.values().filter_map(|peer| peer.fresh_view(now));
         let told = views.map(|view| ShareView {
             entries: view.entries.max(own.entries),
-            heard: view.heard,
+            reachable: view.reachable,
         });
         told.chain([own])
-            .max_by_key(|view| view.heard)
+            .max_by_key(|view| view.reachable)
             .unwrap_or(own)
     }
 
     /// Returns how many entries share limits, and how many tell their news here.
     /// Only this may be passed on: what hubs say of each other would keep
     /// entries alive that are gone.
-    pub fn direct_view(&self, now: Timestamp) -> ShareView {
+    pub fn direct_entry_counts(&self, now: Timestamp) -> ShareView {
         ShareView {
             entries: self.peers.len() + 1,
-            heard: self.peers.values().filter(|peer| peer.tells(now)).count() + 1,
+            reachable: self.peers.values().filter(|peer| peer.tells(now)).count() + 1,
         }
     }
 
     /// Returns the highest fence that another entry is heard to hold.
-    pub fn heard_fence(&self, now: Timestamp) -> Option<FenceToken> {
+    pub fn highest_fence(&self, now: Timestamp) -> Option<FenceToken> {
         let direct = self.peers.values().filter(|peer| peer.tells(now));
         let direct = direct.filter_map(|peer| peer.fence);
         let views = self.peers.values().filter_map(|peer| peer.fresh_view(now));
@@ -570,11 +570,11 @@
 
     /// Iterates over the work that callers bring for a service to each of the
     /// entries that tell.
-    pub fn work<'a>(
+    pub fn service_demand<'a>(
         &'a self,
         now: Timestamp,
         service: &'a ServiceName,
-    ) -> impl Iterator<Item = &'a ServiceWork> {
+    ) -> impl Iterator<Item = &'a ServiceDemand> {
         let telling = self.peers.values().filter(move |peer| peer.tells(now));
         telling
             .flat_map(|peer| &peer.work)
@@ -584,10 +584,10 @@
     /// Sums the load that other entries put on each backend server: what they
     /// told here, or what the hub that hears the most told.
     pub fn uses(&self, now: Timestamp) -> BTreeMap<BackendId, BackendUse> {
-        let told = self.direct_view(now).heard;
+        let told = self.direct_entry_counts(now).reachable;
         let views = self.peers.values().filter_map(|peer| peer.fresh_view(now));
-        match views.max_by_key(|view| view.heard) {
-            Some(view) if view.heard > told => sum_uses(&view.uses),
+        match views.max_by_key(|view| view.reachable) {
+            Some(view) if view.reachable > told => sum_uses(&view.backend_loads),
             _ => self.direct_uses(now),
         }
     }
--- a/lib/src/gateway/edge.rs
+++ b/lib/src/gateway/platform_interface.rs
@@ -18,7 +18,7 @@
 use crate::gateway::backend_record::LoadReport;
 use crate::gateway::call_head::CallHead;
 use crate::gateway::call_head::HeadError;
-use crate::gateway::server_notice::ServerNotice;
+use crate::gateway::server_report::ServerReport;
 use crate::gateway::site_config::SiteConfig;
 use crate::id::AccountName;
 use crate::id::EntryName;
@@ -48,11 +48,11 @@
 
 /// What the gateway adds to a request that it sends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SendTerms<'a> {
+pub struct ForwardedHead<'a> {
     /// The only backend server that may run it.
     pub backend: &'a BackendId,
     /// The time that is left.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The client account of the caller's key.
     pub account: Option<&'a AccountName>,
     /// The urgency, 0 the most urgent.
@@ -63,17 +63,17 @@
 
 /// What a backend server's answer says of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The request that it answers.
-    pub call: Option<String>,
+    pub request_id: Option<String>,
     /// Whether the backend server certainly did not run the request.
-    pub not_run: bool,
+    pub not_executed: bool,
     /// The load of the backend server, if it tells.
     pub load: Option<LoadReport>,
     /// What else the backend server says of itself.
-    pub notice: ServerNotice,
+    pub report: ServerReport,
     /// How long the backend server keeps the connection when idle.
-    pub keep_idle: Option<Duration>,
+    pub keep_alive: Option<Duration>,
 }
 
 /// The formats of requests, answers and documents.
@@ -87,10 +87,10 @@
 
     /// Sets the headers of a request that is sent on. Those that concern one
     /// connection are already gone; the caller's key is removed here.
-    fn encode_send(&self, headers: &mut HeaderMap, terms: &SendTerms<'_>);
+    fn encode_request(&self, headers: &mut HeaderMap, terms: &ForwardedHead<'_>);
 
     /// Decodes the head of a backend server's answer.
-    fn decode_answer(&self, status: http::StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn decode_response(&self, status: http::StatusCode, headers: &HeaderMap) -> ResponseHead;
 
     /// Decodes a configuration.
     ///
@@ -146,10 +146,10 @@
     /// The records.
     pub records: Vec<LogRecord>,
     /// The oldest offset that is kept.
-    pub first: LogOffset,
+    pub oldest: LogOffset,
     /// The offset after the last record that was looked at. The store cuts
     /// long answers, so this may lie before the end.
-    pub next: LogOffset,
+    pub read_end: LogOffset,
     /// The offset that the next append will get.
     pub end: LogOffset,
     /// The store's generation in which this was read.
@@ -158,7 +158,7 @@
 
 /// Where a record was appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AppendedRecord {
+pub struct AppendPosition {
     /// The position.
     pub offset: LogOffset,
     /// The store's generation.
@@ -168,42 +168,42 @@
 impl LogSlice {
     /// Returns whether there are records that the answer has no room for. It
     /// proves nothing about what is newest then.
-    pub fn is_cut(&self) -> bool {
-        self.next < self.end
+    pub fn is_truncated(&self) -> bool {
+        self.read_end < self.end
     }
 }
 
 /// Why a call to the store or the cloud failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreError {
+pub enum PlatformError {
     /// It was refused, and certainly not done.
-    NotDone(String),
+    NotApplied(String),
     /// No connection was made, so nothing was sent.
     NotSent(String),
     /// There was no usable answer; it may have been done, or be done later.
-    Unknown(String),
+    OutcomeUnknown(String),
     /// The records asked for are no longer kept; the oldest kept is told.
-    Forgotten(LogOffset),
+    OffsetOutOfRange(LogOffset),
     /// The condition did not hold; the topic ends elsewhere.
     Conflict(LogOffset),
     /// A call with a higher fence was seen.
     Fenced,
 }
 
-impl fmt::Display for StoreError {
+impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotDone(cause) => write!(f, "not done: {cause}"),
+            Self::NotApplied(cause) => write!(f, "not done: {cause}"),
             Self::NotSent(cause) => write!(f, "not sent: {cause}"),
-            Self::Unknown(cause) => write!(f, "no usable answer: {cause}"),
-            Self::Forgotten(first) => write!(f, "the records before {first} are gone"),
+            Self::OutcomeUnknown(cause) => write!(f, "no usable answer: {cause}"),
+            Self::OffsetOutOfRange(first) => write!(f, "the records before {first} are gone"),
             Self::Conflict(end) => write!(f, "the topic ends at {end}"),
             Self::Fenced => write!(f, "a higher fence was seen"),
         }
     }
 }
 
-impl std::error::Error for StoreError {}
+impl std::error::Error for PlatformError {}
 
 /// The platform's log store.
 pub trait LogStore: Send + Sync + 'static {
@@ -213,10 +213,10 @@
         topic: LogTopic,
         from: LogOffset,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<LogSlice, StoreError>>;
+    ) -> BoxFuture<'_, Result<LogSlice, PlatformError>>;
 
     /// Reads the newest record of each key of a keyed topic.
-    fn newest(&self, topic: LogTopic) -> BoxFuture<'_, Result<LogSlice, StoreError>>;
+    fn read_latest(&self, topic: LogTopic) -> BoxFuture<'_, Result<LogSlice, PlatformError>>;
 
     /// Appends one record; with `expected_end` only if the topic ends there.
     fn append(
@@ -225,7 +225,7 @@
         key: Option<&str>,
         value: Bytes,
         expected_end: Option<LogOffset>,
-    ) -> BoxFuture<'_, Result<AppendedRecord, StoreError>>;
+    ) -> BoxFuture<'_, Result<AppendPosition, PlatformError>>;
 }
 
 /// The number of replicas wanted of a service in one zone.
@@ -243,39 +243,39 @@
 
 /// What a holder calls the cloud with.
 #[derive(Clone, Debug)]
-pub struct CallTerms {
+pub struct CallCredentials {
     /// The holder.
     pub holder: EntryName,
     /// Its fence.
-    pub fence: FenceToken,
+    pub fencing_token: FenceToken,
     /// When nothing of the call may be under way any more.
-    pub ends_at: Timestamp,
+    pub deadline: Timestamp,
     /// The clock of that time.
     pub clock: Arc<BootClock>,
 }
 
-impl CallTerms {
+impl CallCredentials {
     /// Returns whether the time of the call is over.
-    pub fn is_over(&self) -> bool {
-        self.clock.left(self.ends_at).is_zero()
+    pub fn is_expired(&self) -> bool {
+        self.clock.left(self.deadline).is_zero()
     }
 }
 
 /// Calls that one entry at a time may make. None is repeated by itself: each try
 /// needs terms of its own.
-pub trait CloudOrders: Send + Sync + 'static {
+pub trait CloudApi: Send + Sync + 'static {
     /// Reports the requests of each account that began in a window.
     fn report_usage(
         &self,
-        terms: &CallTerms,
+        terms: &CallCredentials,
         window: u64,
         counts: &BTreeMap<AccountName, u64>,
-    ) -> BoxFuture<'_, Result<(), StoreError>>;
+    ) -> BoxFuture<'_, Result<(), PlatformError>>;
 
     /// Orders a number of replicas.
     fn order_replicas(
         &self,
-        terms: &CallTerms,
+        terms: &CallCredentials,
         order: &ReplicaOrder,
-    ) -> BoxFuture<'_, Result<(), StoreError>>;
+    ) -> BoxFuture<'_, Result<(), PlatformError>>;
 }
--- a/lib/src/gateway/store_rhythm.rs
+++ b/lib/src/gateway/read_schedule.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::peer_book::HUB_COUNT;
+use crate::gateway::peer_table::HUB_COUNT;
 
 /// The share of its bound for which a read of the configuration waits for news.
 /// A change ends the wait at once. An empty answer proves that there was none,
@@ -42,13 +42,13 @@
 
 /// The rhythm of reads that keeps one bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreRhythm {
+pub struct ReadSchedule {
     bound: Duration,
 }
 
-impl StoreRhythm {
+impl ReadSchedule {
     /// Returns the rhythm by which a change is known everywhere within `bound`.
-    pub fn of_bound(bound: Duration) -> Self {
+    pub fn with_bound(bound: Duration) -> Self {
         Self { bound }
     }
 
@@ -58,13 +58,13 @@
     }
 
     /// Returns the pause between reads that do not wait.
-    pub fn pause(self) -> Duration {
+    pub fn poll_interval(self) -> Duration {
         self.bound.mul_f64(PAUSE_SHARE)
     }
 
     /// Returns how many entries may read a list of that many servers for
     /// themselves at once, from a store that gives `read_mb_s` to all readers.
-    pub fn readers(self, read_mb_s: f64, servers: usize) -> usize {
+    pub fn max_readers(self, read_mb_s: f64, servers: usize) -> usize {
         let bytes = OWN_READS_SHARE * read_mb_s * 1e6 * self.bound.as_secs_f64();
         let readers = bytes / (LISTED_BYTES * servers.max(1) as f64);
         (readers as usize).max(HUB_COUNT)
@@ -85,29 +85,29 @@
     /// How many entries that may be hubs come before it.
     pub rank: usize,
     /// How many entries may read for themselves at once.
-    pub readers: usize,
+    pub max_readers: usize,
     /// Whether it holds the lease. Its holder has to know whether the store
     /// answers it, and gives the lease up otherwise.
     pub holds_lease: bool,
     /// The age of its knowledge, if it has any.
-    pub age: Option<Duration>,
+    pub view_age: Option<Duration>,
     /// Whether all entries start for the first time.
     pub first_start: bool,
     /// Whether it has read which other entries there are.
-    pub knows_others: bool,
+    pub has_entry_list: bool,
     /// How long it has run.
     pub uptime: Duration,
 }
 
 impl ReaderState {
     /// Returns whether to read the store now.
-    pub fn reads(self, rhythm: StoreRhythm) -> bool {
-        let Some(age) = self.age else {
-            let is_reader = self.knows_others && self.rank < HUB_COUNT;
+    pub fn should_read_store(self, rhythm: ReadSchedule) -> bool {
+        let Some(age) = self.view_age else {
+            let is_reader = self.has_entry_list && self.rank < HUB_COUNT;
             let turn = (self.rank / FIRST_READERS) as u32;
             let waited = self.uptime >= FIRST_WORD + FIRST_TURN * turn;
             return !self.first_start || is_reader || waited;
         };
-        self.holds_lease || age >= rhythm.own_read_age(self.rank, self.readers)
+        self.holds_lease || age >= rhythm.own_read_age(self.rank, self.max_readers)
     }
 }
--- a/lib/src/gateway/replica_plan.rs
+++ b/lib/src/gateway/replica_planner.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::gateway::edge::ReplicaOrder;
+use crate::gateway::platform_interface::ReplicaOrder;
 use crate::gateway::site_config::ScaleRule;
 use crate::id::ServiceName;
 use crate::id::ZoneName;
--- a/lib/src/gateway/replica_desk.rs
+++ b/lib/src/gateway/replica_scaler.rs
@@ -12,14 +12,14 @@
 
 use crate::gateway::duty_call::CallOutcome;
 use crate::gateway::duty_call::call_cloud;
-use crate::gateway::edge::ReplicaOrder;
-use crate::gateway::edge::StoreError;
 use crate::gateway::gateway_context::GatewayContext;
-use crate::gateway::peer_task::own_work;
-use crate::gateway::replica_plan::ReplicaDemand;
-use crate::gateway::replica_plan::ReplicaPlanner;
-use crate::gateway::replica_plan::ReplicaSupply;
-use crate::gateway::replica_plan::ZoneSupply;
+use crate::gateway::gossip_task::own_demand;
+use crate::gateway::platform_interface::PlatformError;
+use crate::gateway::platform_interface::ReplicaOrder;
+use crate::gateway::replica_planner::ReplicaDemand;
+use crate::gateway::replica_planner::ReplicaPlanner;
+use crate::gateway::replica_planner::ReplicaSupply;
+use crate::gateway::replica_planner::ZoneSupply;
 use crate::gateway::site_config::ScaleRule;
 use crate::gateway::site_config::ServiceRule;
 use crate::id::ServiceName;
@@ -53,19 +53,19 @@
 }
 
 /// The plans of one entry, and the orders that it gave.
-pub struct ReplicaDesk {
+pub struct ReplicaScaler {
     planners: BTreeMap<ServiceName, ReplicaPlanner>,
     orders: BTreeMap<(ServiceName, ZoneName, bool), GivenOrder>,
     planned_at: Option<Timestamp>,
 }
 
-impl Default for ReplicaDesk {
+impl Default for ReplicaScaler {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl ReplicaDesk {
+impl ReplicaScaler {
     /// Returns a desk that has planned nothing.
     pub fn new() -> Self {
         Self {
@@ -81,7 +81,7 @@
     }
 
     /// Plans if it is time to, without giving orders.
-    pub fn plan_along(&mut self, context: &GatewayContext) {
+    pub fn plan_as_standby(&mut self, context: &GatewayContext) {
         self.plan(context);
     }
 
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// A holder with a higher fence has called.
-    pub async fn order(&mut self, context: &Arc<GatewayContext>) -> Result<(), StoreError> {
+    pub async fn order(&mut self, context: &Arc<GatewayContext>) -> Result<(), PlatformError> {
         for order in self.plan(context) {
             self.give_order(context, order).await?;
         }
@@ -164,7 +164,7 @@
         &mut self,
         context: &Arc<GatewayContext>,
         order: ReplicaOrder,
-    ) -> Result<(), StoreError> {
+    ) -> Result<(), PlatformError> {
         let now = context.now();
         let key = (order.service.clone(), order.zone.clone(), order.reclaimable);
         let given = self.orders.get(&key).copied();
@@ -173,7 +173,7 @@
         if given.is_some_and(|given| given.count == order.count && is_done(given)) {
             return Ok(());
         }
-        let cloud = &context.edges.cloud;
+        let cloud = &context.platform.cloud;
         let made = call_cloud(context, |terms| cloud.order_replicas(terms, &order)).await;
         // Without the right to act the order is given with a later plan.
         let Some(CallOutcome { call, result }) = made else {
@@ -181,8 +181,8 @@
         };
         info!(context.log, "replicas ordered"; "service" => %order.service, "zone" => %order.zone,
             "reclaimable" => order.reclaimable, "count" => order.count, "there" => there,
-            "fence" => call.terms.fence.0, "began_ms" => call.begins_ms,
-            "right_until_ms" => call.right_until_ms,
+            "fence" => call.credentials.fencing_token.0, "began_ms" => call.began_ms,
+            "right_until_ms" => call.lease_expires_ms,
             "error" => result.as_ref().err().map(ToString::to_string));
         let pause = match &result {
             Ok(()) => REORDER_AFTER,
@@ -192,7 +192,7 @@
         let again_at = now.after(pause);
         self.orders.insert(key, GivenOrder { count, again_at });
         match result {
-            Err(StoreError::Fenced) => Err(StoreError::Fenced),
+            Err(PlatformError::Fenced) => Err(PlatformError::Fenced),
             _ => Ok(()),
         }
     }
@@ -202,7 +202,7 @@
     let backends = context.backends.lock();
     let there = backends.of_service(&order.service).filter(|backend| {
         let record = &backend.record;
-        record.zone == order.zone && record.reclaimable == order.reclaimable && !record.leaving
+        record.zone == order.zone && record.reclaimable == order.reclaimable && !record.draining
     });
     there.count() as u32
 }
@@ -218,13 +218,16 @@
         // Requests that wait are not counted: a queue that built up once would
         // be taken for demand until it is gone.
         let running = of_service.map(|b| b.occupancy(now).min(slots)).sum();
-        (running, backends.times(service).speed.token_rate().0)
+        (
+            running,
+            backends.times(service).prefill_speed.token_rate().0,
+        )
     };
-    let own = own_work(context);
+    let own = own_demand(context);
     let own = own.iter().filter(|work| work.service == service.as_str());
     let peers = context.peers.lock();
     let (mut tokens_per_s, mut busy_milli) = (0, 0);
-    for work in own.chain(peers.work(now, service)) {
+    for work in own.chain(peers.service_demand(now, service)) {
         tokens_per_s += work.tokens_per_s;
         busy_milli += work.busy_milli;
     }
@@ -241,7 +244,7 @@
     let mut supply: ZoneSupply = zones.map(|zone| (zone, ReplicaSupply::default())).collect();
     let working = backends
         .of_service(service)
-        .filter(|backend| backend.takes_work() && !backend.is_missing());
+        .filter(|backend| backend.accepts_requests() && !backend.is_missing());
     for backend in working {
         let zone = supply.entry(backend.record.zone.clone()).or_default();
         if backend.record.reclaimable {
--- a/lib/src/gateway/notice_frames.rs
+++ b/lib/src/gateway/report_frames.rs
@@ -5,14 +5,14 @@
 use prost::Message;
 
 use crate::gateway::backend_record::BackendId;
-use crate::gateway::notice_book::ToldNotice;
+use crate::gateway::report_table::RelayedReport;
 use crate::gateway::send_permits::LimitedSends;
 use crate::gateway::send_permits::PermitGrant;
 use crate::quantity::RequestRate;
 
-/// The frame of [`ToldNotice`].
+/// The frame of [`RelayedReport`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct ToldNoticeFrame {
+pub struct RelayedReportFrame {
     #[prost(string, tag = "1")]
     backend: String,
     #[prost(uint64, tag = "2")]
@@ -48,34 +48,34 @@
     }
 }
 
-impl From<ToldNotice> for ToldNoticeFrame {
-    fn from(notice: ToldNotice) -> Self {
+impl From<RelayedReport> for RelayedReportFrame {
+    fn from(notice: RelayedReport) -> Self {
         Self {
             backend: notice.id.name.0,
             start: notice.id.start.0,
             limit_bits: notice.limit.map(|rate| rate.0.to_bits()),
             age_ms: notice.age.as_millis() as u64,
-            leaving: notice.leaving,
+            leaving: notice.draining,
         }
     }
 }
 
 /// Reads notices. One with a rate that is no rate says nothing.
-pub fn read_notices(frames: Vec<ToldNoticeFrame>) -> Vec<ToldNotice> {
+pub fn read_reports(frames: Vec<RelayedReportFrame>) -> Vec<RelayedReport> {
     frames.into_iter().filter_map(read_notice).collect()
 }
 
-fn read_notice(frame: ToldNoticeFrame) -> Option<ToldNotice> {
+fn read_notice(frame: RelayedReportFrame) -> Option<RelayedReport> {
     let rate =
         |bits: u64| Some(f64::from_bits(bits)).filter(|rate| rate.is_finite() && *rate >= 0.0);
     let limit = match frame.limit_bits {
         Some(bits) => Some(RequestRate(rate(bits)?)),
         None => None,
     };
-    Some(ToldNotice {
-        id: BackendId::of_life(frame.backend, frame.start),
+    Some(RelayedReport {
+        id: BackendId::with_start(frame.backend, frame.start),
         limit,
-        leaving: frame.leaving,
+        draining: frame.leaving,
         age: Duration::from_millis(frame.age_ms),
     })
 }
@@ -89,7 +89,7 @@
 impl From<ServerCountFrame> for LimitedSends {
     fn from(frame: ServerCountFrame) -> Self {
         Self {
-            id: BackendId::of_life(frame.backend, frame.start),
+            id: BackendId::with_start(frame.backend, frame.start),
             sent: frame.count,
         }
     }
@@ -104,7 +104,7 @@
 impl From<ServerCountFrame> for PermitGrant {
     fn from(frame: ServerCountFrame) -> Self {
         Self {
-            id: BackendId::of_life(frame.backend, frame.start),
+            id: BackendId::with_start(frame.backend, frame.start),
             count: u32::try_from(frame.count).unwrap_or(0).min(MAX_GRANT),
         }
     }
--- a/lib/src/gateway/notice_watch.rs
+++ b/lib/src/gateway/report_handler.rs
@@ -9,28 +9,28 @@
 use crate::gateway::gateway_context::GatewayContext;
 use crate::gateway::log_budget::LineClass;
 use crate::gateway::server_labels::NO_LIMIT;
-use crate::gateway::server_notice::NoticeChange;
-use crate::gateway::server_notice::ServerNotice;
+use crate::gateway::server_report::NoticeChange;
+use crate::gateway::server_report::ServerReport;
 
 /// Takes over what a server said with an answer that came just now.
-pub fn note_notice(context: &GatewayContext, id: &BackendId, notice: &ServerNotice) {
+pub fn handle_report(context: &GatewayContext, id: &BackendId, notice: &ServerReport) {
     let now = context.now();
     let changes = context
         .server_limits
         .lock()
-        .book
-        .note_answer(now, id, notice);
+        .reports
+        .apply_direct(now, id, notice);
     if !changes.is_empty() {
         // Others send there until they are told.
-        context.news_due.notify_one();
+        context.gossip_due.notify_one();
     }
-    if notice.leaving {
-        context.backends.lock().note_said_leaving(id);
+    if notice.draining {
+        context.backends.lock().note_reported_draining(id);
     }
-    if let Some(rest) = notice.rest {
-        context.backends.lock().note_rest(now, id, rest);
+    if let Some(rest) = notice.back_off {
+        context.backends.lock().note_back_off(now, id, rest);
     }
-    let rest = notice.rest.map(NoticeChange::Rest);
+    let rest = notice.back_off.map(NoticeChange::Rest);
     for change in changes.into_iter().chain(rest) {
         tell_change(context, id, change);
     }
@@ -39,7 +39,7 @@
 /// Counts and logs what a server said anew.
 fn tell_change(context: &GatewayContext, id: &BackendId, change: NoticeChange) {
     let label = context.server_labels.label(id);
-    let logs = context.logs(&id.name.0, LineClass::Failure);
+    let logs = context.may_log(&id.name.0, LineClass::Failure);
     match change {
         NoticeChange::Limited(rate) => {
             gauge!("cloverbend_backend_limit", "backend" => label.clone()).set(rate.0);
--- a/lib/src/gateway/notice_book.rs
+++ b/lib/src/gateway/report_table.rs
@@ -15,9 +15,9 @@
 
 use crate::gateway::backend_record::BackendId;
 use crate::gateway::backend_record::BackendName;
-use crate::gateway::server_notice::LimitNotice;
-use crate::gateway::server_notice::NoticeChange;
-use crate::gateway::server_notice::ServerNotice;
+use crate::gateway::server_report::LimitReport;
+use crate::gateway::server_report::NoticeChange;
+use crate::gateway::server_report::ServerReport;
 use crate::quantity::RequestRate;
 use crate::quantity::Timestamp;
 
@@ -33,14 +33,14 @@
 
 /// What a server said, as one entry tells another.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ToldNotice {
+pub struct RelayedReport {
     /// The life that said it.
     pub id: BackendId,
     /// The requests a second that it takes from all entries; none if it named no
     /// limit.
     pub limit: Option<RequestRate>,
     /// Whether it leaves.
-    pub leaving: bool,
+    pub draining: bool,
     /// How long ago it said so.
     pub age: Duration,
 }
@@ -70,11 +70,11 @@
         }
     }
 
-    fn note_limit(&mut self, notice: LimitNotice) -> Option<NoticeChange> {
+    fn note_limit(&mut self, notice: LimitReport) -> Option<NoticeChange> {
         let named = match notice {
-            LimitNotice::Unlimited => None,
-            LimitNotice::Limited(rate) => Some(rate),
-            LimitNotice::Unreadable => return None,
+            LimitReport::Unlimited => None,
+            LimitReport::Limited(rate) => Some(rate),
+            LimitReport::Unreadable => return None,
         };
         if std::mem::replace(&mut self.limit, named) == named {
             return None;
@@ -82,11 +82,11 @@
         Some(named.map_or(NoticeChange::LimitOver, NoticeChange::Limited))
     }
 
-    fn to_told(&self, now: Timestamp) -> ToldNotice {
-        ToldNotice {
+    fn to_told(&self, now: Timestamp) -> RelayedReport {
+        RelayedReport {
             id: self.id.clone(),
             limit: self.limit,
-            leaving: self.leaving,
+            draining: self.leaving,
             age: now.since(self.said_at),
         }
     }
@@ -111,11 +111,11 @@
 
 /// What servers said, by their names.
 #[derive(Clone, Debug, Default)]
-pub struct NoticeBook {
+pub struct ReportTable {
     notices: BTreeMap<BackendName, KnownNotice>,
 }
 
-impl NoticeBook {
+impl ReportTable {
     /// Returns a book without notices.
     pub fn new() -> Self {
         Self::default()
@@ -135,13 +135,13 @@
 
     /// Notes what a server said in an answer that came just now; returns what that
     /// changed for others too.
-    pub fn note_answer(
+    pub fn apply_direct(
         &mut self,
         now: Timestamp,
         id: &BackendId,
-        notice: &ServerNotice,
+        notice: &ServerReport,
     ) -> Vec<NoticeChange> {
-        let says_nothing = notice.limit == LimitNotice::Unlimited && !notice.leaving;
+        let says_nothing = notice.limit == LimitReport::Unlimited && !notice.draining;
         if says_nothing && !self.notices.contains_key(&id.name) {
             return Vec::new();
         }
@@ -152,7 +152,7 @@
         known.heard_at = Some(now);
         let mut changes = Vec::new();
         changes.extend(known.note_limit(notice.limit));
-        if notice.leaving && !std::mem::replace(&mut known.leaving, true) {
+        if notice.draining && !std::mem::replace(&mut known.leaving, true) {
             changes.push(NoticeChange::Leaving);
         }
         if !changes.is_empty() {
@@ -162,12 +162,12 @@
     }
 
     /// Takes over what another entry told. Returns whether something changed.
-    pub fn take_over(&mut self, now: Timestamp, notice: &ToldNotice) -> bool {
+    pub fn take_over(&mut self, now: Timestamp, notice: &RelayedReport) -> bool {
         let said_at = Timestamp(now.0.saturating_sub(notice.age.as_micros() as u64));
         let Some(known) = self.known_mut(now, &notice.id) else {
             return false;
         };
-        let leaves = notice.leaving && !std::mem::replace(&mut known.leaving, true);
+        let leaves = notice.draining && !std::mem::replace(&mut known.leaving, true);
         let is_newer = said_at > known.said_at;
         let limit_changed = is_newer && known.limit != notice.limit;
         if is_newer {
@@ -202,7 +202,7 @@
     }
 
     /// Returns what this entry heard itself a moment ago.
-    pub fn heard_notices(&self, now: Timestamp) -> Vec<ToldNotice> {
+    pub fn direct_reports(&self, now: Timestamp) -> Vec<RelayedReport> {
         let heard =
             |known: &&KnownNotice| known.heard_at.is_some_and(|at| now.since(at) < TOLD_FOR);
         let notices = self.notices.values().filter(heard);
@@ -210,14 +210,14 @@
     }
 
     /// Returns what changed a moment ago.
-    pub fn recent_notices(&self, now: Timestamp) -> Vec<ToldNotice> {
+    pub fn recent_notices(&self, now: Timestamp) -> Vec<RelayedReport> {
         let recent = |known: &&KnownNotice| now.since(known.changed_at) < RECENT;
         let notices = self.notices.values().filter(recent);
         notices.map(|known| known.to_told(now)).collect()
     }
 
     /// Returns all that is known, also of limits that are over.
-    pub fn all_notices(&self, now: Timestamp) -> Vec<ToldNotice> {
+    pub fn all_notices(&self, now: Timestamp) -> Vec<RelayedReport> {
         let notices = self.notices.values();
         notices.map(|known| known.to_told(now)).collect()
     }
--- a/lib/src/gateway/answer_body.rs
+++ b/lib/src/gateway/response_body.rs
@@ -7,8 +7,8 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 
-use crate::gateway::held_bytes::ByteBudget;
-use crate::gateway::held_bytes::HeldBuffer;
+use crate::gateway::byte_budget::ByteBudget;
+use crate::gateway::byte_budget::HeldBuffer;
 
 /// The largest answer that is held whole, in bytes, before any of it is passed
 /// on: well above whole generations, which are some bytes a token, so that
--- a/lib/src/gateway/answer_passage.rs
+++ b/lib/src/gateway/response_passthrough.rs
@@ -19,9 +19,6 @@
 use metrics::histogram;
 use slog::info;
 
-use crate::gateway::answer_body::BegunBody;
-use crate::gateway::answer_relay::CallBody;
-use crate::gateway::answer_relay::RelayError;
 use crate::gateway::backend_record::BackendOutcome;
 use crate::gateway::call_admission::AdmittedCall;
 use crate::gateway::call_admission::onward_headers;
@@ -29,11 +26,14 @@
 use crate::gateway::call_log::log_end;
 use crate::gateway::call_log::log_send;
 use crate::gateway::call_log::note_outcome;
+use crate::gateway::event_relay::CallBody;
+use crate::gateway::event_relay::RelayError;
+use crate::gateway::gateway_context::CallGuard;
 use crate::gateway::gateway_context::GatewayContext;
-use crate::gateway::gateway_context::OpenCall;
 use crate::gateway::log_budget::LineClass;
-use crate::gateway::send_guard::BROKEN_OFF;
-use crate::gateway::send_guard::STARTED_AGAIN;
+use crate::gateway::response_body::BegunBody;
+use crate::gateway::send_guard::RESPONSE_INTERRUPTED;
+use crate::gateway::send_guard::SERVER_RESTARTED;
 
 /// Passes one answer on.
 pub struct AnswerPassage {
@@ -43,7 +43,7 @@
     /// What was read before the passage began, in order.
     read: std::array::IntoIter<Bytes, 2>,
     sent: Option<SentCall>,
-    _open: OpenCall,
+    _open: CallGuard,
 }
 
 type PassedFrame = (Result<Frame<Bytes>, RelayError>, AnswerPassage);
@@ -88,15 +88,15 @@
         }
         loop {
             let sent = self.sent.as_mut()?;
-            let life_end = sent.guard.life_end.clone();
+            let life_end = sent.guard.restart_token.clone();
             let body = sent.exchange.response.body_mut();
             let frame = tokio::select! {
                 biased;
                 frame = self.context.clock.timeout_at(self.call.until, body.frame()) => frame,
                 () = life_end.cancelled() => {
                     let sent = self.sent.take()?;
-                    sent.guard.note_cut(STARTED_AGAIN);
-                    return Some(self.break_off(&sent, STARTED_AGAIN));
+                    sent.guard.note_interrupted(SERVER_RESTARTED);
+                    return Some(self.break_off(&sent, SERVER_RESTARTED));
                 }
             };
             match frame {
@@ -109,8 +109,8 @@
                     let sent = self.sent.take()?;
                     let backend = sent.guard.backend();
                     note_outcome(&self.context, backend, BackendOutcome::Broken);
-                    sent.guard.note_cut(BROKEN_OFF);
-                    return Some(self.break_off(&sent, BROKEN_OFF));
+                    sent.guard.note_interrupted(RESPONSE_INTERRUPTED);
+                    return Some(self.break_off(&sent, RESPONSE_INTERRUPTED));
                 }
                 Err(_) => {
                     let sent = self.sent.take()?;
@@ -146,12 +146,12 @@
         let Some(sent) = self.sent.take() else {
             return;
         };
-        sent.guard.note_answered();
+        sent.guard.note_completed();
         let backend = sent.guard.backend();
         let connection = sent.exchange.connection;
         self.context
             .pool
-            .put_back(backend, connection, sent.answer.keep_idle);
+            .return_connection(backend, connection, sent.answer.keep_alive);
         let took = self.call.taken();
         histogram!("cloverbend_answer_seconds").record(took.as_secs_f64());
         log_end(&self.context, &self.call, backend, self.status);
@@ -161,7 +161,11 @@
 impl Drop for AnswerPassage {
     fn drop(&mut self) {
         let left = self.sent.is_some();
-        if left && self.context.logs(&self.call.head.id.0, LineClass::Failure) {
+        if left
+            && self
+                .context
+                .may_log(&self.call.head.id.0, LineClass::Failure)
+        {
             info!(self.context.log, "caller left"; "request" => %self.call.head.id,
                 "after_ms" => self.call.taken().as_millis() as u64);
         }
--- a/lib/src/gateway/send_budget.rs
+++ b/lib/src/gateway/retry_budget.rs
@@ -13,7 +13,7 @@
 
 /// The bound on sends beyond the first, over all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SendBudgetRule {
+pub struct RetryBudgetRule {
     /// Sends beyond the first for each request in the window.
     pub ratio: f64,
     /// Sends beyond the first that are always allowed in the window.
@@ -34,18 +34,18 @@
 
 /// The sends of one entry within the window, by service.
 #[derive(Clone, Debug, Default)]
-pub struct SendBudget {
+pub struct RetryBudget {
     services: BTreeMap<ServiceName, ServiceSends>,
 }
 
-impl SendBudget {
+impl RetryBudget {
     /// Returns a budget without any sends.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Notes a request for a service.
-    pub fn note_request(&mut self, now: Timestamp, service: &ServiceName, rule: &SendBudgetRule) {
+    pub fn note_request(&mut self, now: Timestamp, service: &ServiceName, rule: &RetryBudgetRule) {
         let sends = self.services.entry(service.clone()).or_default();
         sends.first.push_back(now);
         drop_old(&mut sends.first, now, rule.window);
@@ -57,7 +57,7 @@
         &mut self,
         now: Timestamp,
         service: &ServiceName,
-        rule: &SendBudgetRule,
+        rule: &RetryBudgetRule,
         entries: usize,
     ) -> bool {
         let sends = self.services.entry(service.clone()).or_default();
--- a/lib/src/gateway/send_guard.rs
+++ b/lib/src/gateway/send_guard.rs
@@ -7,23 +7,23 @@
 
 use crate::gateway::backend_record::BackendId;
 use crate::gateway::call_digest::CallDigest;
-use crate::gateway::crash_watch::BrokenRun;
-use crate::gateway::crash_watch::note_answered;
-use crate::gateway::crash_watch::note_broken;
-use crate::gateway::crash_watch::note_crashed;
+use crate::gateway::crash_detector::InterruptedRun;
+use crate::gateway::crash_detector::note_completed;
+use crate::gateway::crash_detector::probe_for_crash;
+use crate::gateway::crash_detector::record_crash;
 use crate::gateway::gateway_context::GatewayContext;
 use crate::quantity::Timestamp;
 
 /// The word for a send whose connection ended without an answer.
 pub const CONNECTION_LOST: &str = "lost";
 /// The word for an answer whose connection ended before it.
-pub const BROKEN_OFF: &str = "broken_off";
+pub const RESPONSE_INTERRUPTED: &str = "broken_off";
 /// The word for a request whose backend server is known to have started again.
-pub const STARTED_AGAIN: &str = "server_started_again";
+pub const SERVER_RESTARTED: &str = "server_started_again";
 
 /// What is known of a request when it is sent.
 #[derive(Clone, Debug)]
-pub struct GuardTerms {
+pub struct SentRequest {
     /// The backend server.
     pub backend: BackendId,
     /// Where it listens.
@@ -31,11 +31,11 @@
     /// The request.
     pub digest: CallDigest,
     /// Prompt tokens that the server has to read.
-    pub unread: u64,
+    pub prefill_tokens: u64,
     /// Prompt tokens of others that it had to read before.
-    pub ahead: u64,
+    pub tokens_ahead: u64,
     /// Whether a slot seemed free.
-    pub had_room: bool,
+    pub had_free_slot: bool,
     /// The moment.
     pub sent_at: Timestamp,
 }
@@ -43,19 +43,19 @@
 /// Counts a request at a backend server until it is dropped.
 pub struct SendGuard {
     context: Arc<GatewayContext>,
-    terms: GuardTerms,
+    terms: SentRequest,
     /// When its answer began, or else when it was sent.
     began: Timestamp,
     is_read: bool,
     /// Cancelled when the server is known to have started again.
-    pub life_end: CancellationToken,
+    pub restart_token: CancellationToken,
 }
 
 impl SendGuard {
     /// Begins to count a request.
-    pub fn new(context: &Arc<GatewayContext>, terms: GuardTerms) -> Self {
+    pub fn new(context: &Arc<GatewayContext>, terms: SentRequest) -> Self {
         Self {
-            life_end: context.lives.enter(&terms.backend),
+            restart_token: context.incarnations.enter(&terms.backend),
             context: Arc::clone(context),
             began: terms.sent_at,
             is_read: false,
@@ -75,28 +75,28 @@
 
     /// Notes that the answer was cut; `word` tells how. All answers break off
     /// where a server crashes.
-    pub fn note_cut(&self, word: &str) {
+    pub fn note_interrupted(&self, word: &str) {
         let (context, backend) = (&self.context, self.backend());
         match word {
-            CONNECTION_LOST | BROKEN_OFF => {
-                note_broken(context, backend, self.terms.address, self.run());
+            CONNECTION_LOST | RESPONSE_INTERRUPTED => {
+                probe_for_crash(context, backend, self.terms.address, self.run());
             }
-            STARTED_AGAIN => note_crashed(context, backend, &[self.run()]),
+            SERVER_RESTARTED => record_crash(context, backend, &[self.run()]),
             _ => {}
         }
     }
 
     /// Notes that the answer came to its end.
-    pub fn note_answered(&self) {
-        self.context.note_answered();
-        note_answered(&self.context, self.terms.digest);
+    pub fn note_completed(&self) {
+        self.context.note_first_response();
+        note_completed(&self.context, self.terms.digest);
     }
 
-    fn run(&self) -> BrokenRun {
-        BrokenRun {
+    fn run(&self) -> InterruptedRun {
+        InterruptedRun {
             digest: self.terms.digest,
-            began: self.began,
-            broke: self.context.now(),
+            started_at: self.began,
+            interrupted_at: self.context.now(),
         }
     }
 
@@ -107,9 +107,9 @@
         }
         let took = self.context.now().since(self.terms.sent_at);
         let mut backends = self.context.backends.lock();
-        backends.note_read(&self.terms.backend, self.terms.unread);
-        if self.terms.ahead == 0 {
-            backends.note_first_event(&self.terms.backend, self.terms.unread, took);
+        backends.note_prefilled(&self.terms.backend, self.terms.prefill_tokens);
+        if self.terms.tokens_ahead == 0 {
+            backends.note_first_event(&self.terms.backend, self.terms.prefill_tokens, took);
         }
     }
 }
@@ -119,10 +119,10 @@
         let held = self.context.now().since(self.terms.sent_at);
         let mut backends = self.context.backends.lock();
         if !self.is_read {
-            backends.note_read(&self.terms.backend, self.terms.unread);
+            backends.note_prefilled(&self.terms.backend, self.terms.prefill_tokens);
         }
-        backends.note_left(&self.terms.backend, held, self.terms.had_room);
+        backends.note_left(&self.terms.backend, held, self.terms.had_free_slot);
         drop(backends);
-        self.context.lives.leave(&self.terms.backend);
+        self.context.incarnations.leave(&self.terms.backend);
     }
 }
--- a/lib/src/gateway/server_limits.rs
+++ b/lib/src/gateway/server_limits.rs
@@ -7,10 +7,10 @@
 
 use crate::gateway::backend_record::BackendId;
 use crate::gateway::backend_set::BackendSet;
-use crate::gateway::notice_book::NoticeBook;
 use crate::gateway::permit_issuer::LimitedServer;
 use crate::gateway::permit_issuer::PermitClient;
 use crate::gateway::permit_issuer::PermitIssuer;
+use crate::gateway::report_table::ReportTable;
 use crate::gateway::send_permits::LimitedSends;
 use crate::gateway::send_permits::PermitGrant;
 use crate::gateway::send_permits::SendPermits;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
     /// What servers said.
-    pub book: NoticeBook,
+    pub reports: ReportTable,
     permits: SendPermits,
     issuer: PermitIssuer,
 }
@@ -31,7 +31,7 @@
     /// Returns an entry's limits when it starts and has heard nothing.
     pub fn new(own: EntryName) -> Self {
         Self {
-            book: NoticeBook::new(),
+            reports: ReportTable::new(),
             permits: SendPermits::new(),
             issuer: PermitIssuer::new(own),
         }
@@ -39,11 +39,11 @@
 
     /// Returns whether a server has named a limit that is in force.
     pub fn is_limited(&self, id: &BackendId) -> bool {
-        self.book.limit(id).is_some()
+        self.reports.limit(id).is_some()
     }
 
     /// Returns whether a server takes a request of this entry now.
-    pub fn lets_in(&self, now: Timestamp, id: &BackendId) -> bool {
+    pub fn may_send(&self, now: Timestamp, id: &BackendId) -> bool {
         !self.is_limited(id) || self.permits.has(now, id)
     }
 
@@ -56,7 +56,7 @@
 
     /// Returns what this entry has sent to servers with a limit, of those that got
     /// a request a moment ago.
-    pub fn sends(&self, now: Timestamp) -> Vec<LimitedSends> {
+    pub fn recent_sends(&self, now: Timestamp) -> Vec<LimitedSends> {
         self.permits.sends(now)
     }
 
@@ -81,8 +81,8 @@
 
     /// Forgets what is over. Returns whether any limit is in force.
     pub fn sweep(&mut self, now: Timestamp, backends: &BackendSet) -> bool {
-        self.book.sweep(now, |id| backends.get(id).is_some());
-        let book = &self.book;
+        self.reports.sweep(now, |id| backends.get(id).is_some());
+        let book = &self.reports;
         self.permits.keep(|id| book.limit(id).is_some());
         let any = book.limits().next().is_some();
         if !any {
@@ -100,21 +100,21 @@
         part: f64,
         clients: &[PermitClient],
     ) -> BTreeMap<EntryName, Vec<PermitGrant>> {
-        let limited = limited_servers(&self.book, backends);
+        let limited = limited_servers(&self.reports, backends);
         self.issuer.issue(now, part, &limited, clients)
     }
 
     /// Returns the digest of the limits in force at listed servers.
     pub fn digest(&self, backends: &BackendSet) -> u64 {
-        self.book.digest(|id| backends.get(id).is_some())
+        self.reports.digest(|id| backends.get(id).is_some())
     }
 }
 
 /// Returns the servers that take requests and have named a limit.
-fn limited_servers(book: &NoticeBook, backends: &BackendSet) -> Vec<LimitedServer> {
+fn limited_servers(book: &ReportTable, backends: &BackendSet) -> Vec<LimitedServer> {
     let limited = book.limits().filter_map(|(id, limit)| {
         let backend = backends.get(id)?;
-        backend.takes_work().then(|| LimitedServer {
+        backend.accepts_requests().then(|| LimitedServer {
             id: id.clone(),
             service: backend.record.service.clone(),
             limit,
--- a/lib/src/gateway/server_notice.rs
+++ b/lib/src/gateway/server_report.rs
@@ -10,7 +10,7 @@
 
 /// What an answer says of the requests that its server takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum LimitNotice {
+pub enum LimitReport {
     /// It names no limit: there is none, or none any more.
     #[default]
     Unlimited,
@@ -22,13 +22,13 @@
 
 /// What a backend server says of itself with one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ServerNotice {
+pub struct ServerReport {
     /// How much it takes.
-    pub limit: LimitNotice,
+    pub limit: LimitReport,
     /// Whether it leaves and takes no new requests.
-    pub leaving: bool,
+    pub draining: bool,
     /// For how long it wants no request from the entry that it answers.
-    pub rest: Option<Duration>,
+    pub back_off: Option<Duration>,
 }
 
 /// What a notice changed in what is believed of a server.
--- a/lib/src/gateway/service_times.rs
+++ b/lib/src/gateway/service_times.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::reading_speed::ReadingSpeed;
+use crate::gateway::prefill_speed::ReadingSpeed;
 
 /// How long a request is believed to occupy a backend server before any has
 /// ended: between plain requests of some ten ms and streams of some seconds.
@@ -17,12 +17,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceTimes {
     /// How fast its replicas read prompts.
-    pub speed: ReadingSpeed,
+    pub prefill_speed: ReadingSpeed,
     /// How long a request occupies a backend server, queues included.
     pub hold: Duration,
     /// How long it does where a slot was free at its send, so that it does not
     /// grow with queues.
-    pub run: Duration,
+    pub processing_time: Duration,
     /// The requests that `run` is the mean of, the prior included.
     run_count: u32,
 }
@@ -30,9 +30,9 @@
 impl Default for ServiceTimes {
     fn default() -> Self {
         Self {
-            speed: ReadingSpeed::default(),
+            prefill_speed: ReadingSpeed::default(),
             hold: PRIOR_HOLD,
-            run: PRIOR_HOLD,
+            processing_time: PRIOR_HOLD,
             run_count: 1,
         }
     }
@@ -47,7 +47,7 @@
             self.run_count += 1;
             // An entry with few requests is not to keep the prior for long.
             let weight = HOLD_WEIGHT.max(1.0 / f64::from(self.run_count));
-            self.run = blend(self.run, held, weight);
+            self.processing_time = blend(self.processing_time, held, weight);
         }
     }
 }
--- a/lib/src/gateway/site_config.rs
+++ b/lib/src/gateway/site_config.rs
@@ -106,7 +106,7 @@
     /// Requests that run at once.
     pub slots: u32,
     /// Tokens that the memory holds.
-    pub memory_tokens: u64,
+    pub kv_capacity_tokens: u64,
 }
 
 /// A service.
@@ -139,7 +139,7 @@
     /// Tokens of prompt and generation together.
     Tokens {
         /// What a request counts that states no tokens.
-        plain: u64,
+        default_tokens: u64,
     },
 }
 
--- a/lib/src/gateway/pause_watch.rs
+++ b/lib/src/gateway/stall_detector.rs
@@ -17,7 +17,7 @@
 
 /// The pauses of one stream.
 #[derive(Clone, Copy, Debug)]
-pub struct PauseWatch {
+pub struct StallDetector {
     watches: bool,
     is_stopped: bool,
     has_begun: bool,
@@ -27,7 +27,7 @@
     last_at: Instant,
 }
 
-impl PauseWatch {
+impl StallDetector {
     /// Returns the watch of a stream whose head came at `now`. Only streams
     /// that may go on elsewhere are watched.
     pub fn new(now: Instant, route: &RouteRule) -> Self {
@@ -43,7 +43,7 @@
     }
 
     /// Notes that the stream goes on at another backend server from `now`.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn note_resumed(&mut self, now: Instant) {
         self.has_begun = false;
         self.is_stopped = false;
         self.last_at = now;
@@ -60,12 +60,12 @@
     }
 
     /// Watches no more until bytes come.
-    pub fn stop(&mut self) {
+    pub fn disarm(&mut self) {
         self.is_stopped = true;
     }
 
     /// Returns when the stream counts as silent if nothing comes before.
-    pub fn silent_at(&self) -> Option<Instant> {
+    pub fn stalled_at(&self) -> Option<Instant> {
         if !self.watches || self.is_stopped {
             return None;
         }
--- a/lib/src/gateway/state_sizes.rs
+++ b/lib/src/gateway/state_sizes.rs
@@ -56,12 +56,12 @@
 
 impl StateSizes {
     fn of(context: &GatewayContext) -> Self {
-        let arriving = context.transfer.lock().held_bytes();
+        let arriving = context.transfer.lock().buffered_bytes();
         let config = context.config.lock();
         Self {
             queued: context.links.queued_bytes(),
             links: context.links.link_count(),
-            kept: config.kept_bytes(),
+            kept: config.cached_bytes(),
             arriving,
             revision: config.revision(),
         }
--- a/lib/src/gateway/store_task.rs
+++ b/lib/src/gateway/store_task.rs
@@ -18,19 +18,19 @@
 use crate::gateway::backend_record::BackendRecord;
 use crate::gateway::backend_set::BackendChange;
 use crate::gateway::backend_set::BackendSet;
-use crate::gateway::document_transfer::ArrivedDocument;
-use crate::gateway::edge::FormatError;
-use crate::gateway::edge::LogRecord;
-use crate::gateway::edge::LogSlice;
-use crate::gateway::edge::LogTopic;
-use crate::gateway::edge::StoreError;
+use crate::gateway::document_transfer::ReceivedDocument;
 use crate::gateway::gateway_context::GatewayContext;
+use crate::gateway::hub_capacity::HubCapacity;
 use crate::gateway::list_history::ListChanges;
 use crate::gateway::log_budget::LineClass;
 use crate::gateway::packed_document::PackedDocument;
-use crate::gateway::store_rhythm::ReaderState;
-use crate::gateway::store_rhythm::StoreRhythm;
-use crate::gateway::vm_strength::VmStrength;
+use crate::gateway::platform_interface::FormatError;
+use crate::gateway::platform_interface::LogRecord;
+use crate::gateway::platform_interface::LogSlice;
+use crate::gateway::platform_interface::LogTopic;
+use crate::gateway::platform_interface::PlatformError;
+use crate::gateway::read_schedule::ReadSchedule;
+use crate::gateway::read_schedule::ReaderState;
 use crate::id::EntryName;
 use crate::id::LogOffset;
 use crate::quantity::Timestamp;
@@ -72,7 +72,7 @@
 
     /// Waits after a failed call.
     async fn wait_after_failure(&mut self, context: &GatewayContext) {
-        let hears_others = context.peers.lock().share_view(context.now()).heard > 1;
+        let hears_others = context.peers.lock().entry_counts(context.now()).reachable > 1;
         let longest = if hears_others && !always_reads(context) {
             LONGEST_FAILURE_PAUSE
         } else {
@@ -89,18 +89,18 @@
     }
 
     /// Notes the outcome of a call; returns whether it ended an outage.
-    fn note<T>(&mut self, context: &GatewayContext, result: &Result<T, StoreError>) -> bool {
+    fn note<T>(&mut self, context: &GatewayContext, result: &Result<T, PlatformError>) -> bool {
         let up = match result {
-            Ok(_) | Err(StoreError::Forgotten(_) | StoreError::Conflict(_)) => true,
+            Ok(_) | Err(PlatformError::OffsetOutOfRange(_) | PlatformError::Conflict(_)) => true,
             Err(
-                StoreError::NotDone(_)
-                | StoreError::NotSent(_)
-                | StoreError::Unknown(_)
-                | StoreError::Fenced,
+                PlatformError::NotApplied(_)
+                | PlatformError::NotSent(_)
+                | PlatformError::OutcomeUnknown(_)
+                | PlatformError::Fenced,
             ) => false,
         };
         if up {
-            context.note_store_seen();
+            context.note_store_response();
             self.pause = FAILURE_PAUSE;
         }
         let changed = up != self.is_up;
@@ -120,17 +120,17 @@
 /// those of the holder of the lease, which has to know whether the store
 /// answers it.
 fn always_reads(context: &GatewayContext) -> bool {
-    let rank = context.peers.lock().rank(context.now());
-    rank == 0 || context.duties.lock().is_holder()
+    let rank = context.peers.lock().hub_rank(context.now());
+    rank == 0 || context.lease.lock().is_holder()
 }
 
 /// Waits while other entries keep the knowledge young enough.
 async fn wait_own_read(
     context: &GatewayContext,
-    rhythm: StoreRhythm,
+    rhythm: ReadSchedule,
     knowledge: impl Fn() -> StoreKnowledge,
 ) {
-    while !reader_state(context, knowledge()).reads(rhythm) {
+    while !reader_state(context, knowledge()).should_read_store(rhythm) {
         tokio::time::sleep(AGE_CHECK).await;
     }
 }
@@ -151,12 +151,12 @@
     }
 }
 
-fn backends_knowledge(context: &GatewayContext, rhythm: StoreRhythm) -> StoreKnowledge {
+fn backends_knowledge(context: &GatewayContext, rhythm: ReadSchedule) -> StoreKnowledge {
     let backends = context.backends.lock();
     let servers = backends.iter().count();
     StoreKnowledge {
         known_at: backends.confirmed_at(),
-        readers: rhythm.readers(context.settings.store_read_mb_s, servers),
+        readers: rhythm.max_readers(context.settings.store_read_mb_s, servers),
     }
 }
 
@@ -164,12 +164,12 @@
     let now = context.now();
     let peers = context.peers.lock();
     ReaderState {
-        rank: peers.rank(now),
-        readers: knowledge.readers,
-        holds_lease: context.duties.lock().is_holder(),
-        age: knowledge.known_at.map(|at| now.since(at)),
+        rank: peers.hub_rank(now),
+        max_readers: knowledge.readers,
+        holds_lease: context.lease.lock().is_holder(),
+        view_age: knowledge.known_at.map(|at| now.since(at)),
         first_start: context.settings.first_start,
-        knows_others: peers.is_listed(),
+        has_entry_list: peers.is_list_read(),
         uptime: now.since(Timestamp(0)),
     }
 }
@@ -177,20 +177,20 @@
 /// Follows the configuration until the entry stops.
 pub async fn follow_config(context: Arc<GatewayContext>) {
     let mut watch = DependencyWatch::new("store: configuration");
-    let rhythm = StoreRhythm::of_bound(context.settings.bounds.config_apply);
+    let rhythm = ReadSchedule::with_bound(context.settings.bounds.config_apply);
     loop {
         wait_own_read(&context, rhythm, || config_knowledge(&context)).await;
         let asked_at = context.now();
-        let store = &context.edges.store;
+        let store = &context.platform.store;
         let topic = LogTopic::Configuration;
         let next = context.config.lock().log_end();
         let result = match next {
-            None => store.newest(topic).await,
+            None => store.read_latest(topic).await,
             Some(from) => store.read(topic, from, watch.patience(rhythm.wait())).await,
         };
         watch.note(&context, &result);
         match result {
-            Ok(slice) if passes_over(&slice, next) => context.config.lock().forget_log(),
+            Ok(slice) if passes_over(&slice, next) => context.config.lock().reset_log_end(),
             Ok(slice) => {
                 apply_config(&context, &slice);
                 let mut config = context.config.lock();
@@ -198,7 +198,7 @@
                 let revision = config.revision();
                 config.confirm(revision, asked_at);
             }
-            Err(StoreError::Forgotten(_)) => context.config.lock().forget_log(),
+            Err(PlatformError::OffsetOutOfRange(_)) => context.config.lock().reset_log_end(),
             Err(_) => watch.wait_after_failure(&context).await,
         }
     }
@@ -208,13 +208,13 @@
 /// are no longer kept, or the answer had no room for them. In a keyed topic only
 /// the newest of each key counts, so these are asked for then.
 fn passes_over(slice: &LogSlice, next: Option<LogOffset>) -> bool {
-    slice.is_cut() || next.is_some_and(|from| slice.first > from)
+    slice.is_truncated() || next.is_some_and(|from| slice.oldest > from)
 }
 
 /// Adopts the newest configuration of a slice; what came before it is of no use
 /// to anybody.
 fn apply_config(context: &GatewayContext, slice: &LogSlice) {
-    let key = context.edges.format.config_key();
+    let key = context.platform.format.config_key();
     let published =
         |record: &&LogRecord| record.key.as_deref() == Some(key) && !record.value.is_empty();
     let Some(record) = slice.records.iter().rev().find(published) else {
@@ -243,8 +243,8 @@
 
 /// Adopts a document that came whole from another entry. Returns whether its
 /// revision, or a later one, is in force here now.
-pub fn adopt_arrived(context: &GatewayContext, arrived: ArrivedDocument) -> bool {
-    let ArrivedDocument {
+pub fn adopt_received(context: &GatewayContext, arrived: ReceivedDocument) -> bool {
+    let ReceivedDocument {
         revision,
         document,
         log_end,
@@ -273,14 +273,14 @@
     source: &str,
 ) -> Result<(), String> {
     counter!("cloverbend_config_documents_decoded_total").increment(1);
-    let decoded = context.edges.format.decode_config(document);
+    let decoded = context.platform.format.decode_config(document);
     let config = decoded.map_err(|error| error.to_string())?;
     let revision = config.revision;
     let routes = config.routes.len();
     let packed_bytes = packed.bytes().len();
     let now = context.now();
     if context.config.lock().offer(now, config, packed, log_end) {
-        context.news_due.notify_one();
+        context.gossip_due.notify_one();
         counter!("cloverbend_configs_adopted_total").increment(1);
         info!(context.log, "configuration adopted"; "revision" => revision.0,
             "source" => source, "routes" => routes, "bytes" => document.len(),
@@ -292,20 +292,20 @@
 /// Follows the backend servers until the entry stops.
 pub async fn follow_backends(context: Arc<GatewayContext>) {
     let mut watch = DependencyWatch::new("store: backend servers");
-    let rhythm = StoreRhythm::of_bound(context.settings.bounds.drain);
+    let rhythm = ReadSchedule::with_bound(context.settings.bounds.drain);
     let mut next: Option<LogOffset> = None;
     loop {
         wait_own_read(&context, rhythm, || backends_knowledge(&context, rhythm)).await;
         let asked_at = context.now();
-        let store = &context.edges.store;
+        let store = &context.platform.store;
         let topic = LogTopic::Backends;
         let result = match next {
-            None => store.newest(topic).await,
+            None => store.read_latest(topic).await,
             Some(from) => store.read(topic, from, Duration::ZERO).await,
         };
         if watch.note(&context, &result) {
             let now = context.now();
-            context.backends.lock().note_store_back(now);
+            context.backends.lock().note_store_recovered(now);
         }
         match result {
             Ok(slice) if passes_over(&slice, next) => next = None,
@@ -314,9 +314,9 @@
                 next = Some(slice.end);
                 apply_backends(&context, &slice, whole);
                 context.backends.lock().confirm(asked_at);
-                tokio::time::sleep(rhythm.pause()).await;
+                tokio::time::sleep(rhythm.poll_interval()).await;
             }
-            Err(StoreError::Forgotten(_)) => next = None,
+            Err(PlatformError::OffsetOutOfRange(_)) => next = None,
             Err(_) => watch.wait_after_failure(&context).await,
         }
     }
@@ -325,17 +325,21 @@
 /// Takes over the list of another entry, which was the newest at `known_at`,
 /// if the own one is older. Times are compared and not ages: the age that the
 /// other told is from before its message was on its way.
-pub fn adopt_backends(context: &GatewayContext, records: &[BackendRecord], known_at: Timestamp) {
+pub fn adopt_backend_list(
+    context: &GatewayContext,
+    records: &[BackendRecord],
+    known_at: Timestamp,
+) {
     let now = context.now();
     let mut backends = context.backends.lock();
-    let changes = backends.replace_older(now, known_at, records.to_vec());
+    let changes = backends.replace_if_newer(now, known_at, records.to_vec());
     drop(backends);
     note_heard_changes(context, &changes);
 }
 
 /// Takes over how the list of another entry differs from the own one. That list
 /// was the newest at `known_at` and has the digest `target`.
-pub fn adopt_changes(
+pub fn adopt_backend_changes(
     context: &GatewayContext,
     changes: &ListChanges,
     target: u64,
@@ -349,11 +353,11 @@
 }
 
 /// Takes over that servers leave, as another entry told.
-pub fn note_leaving(context: &GatewayContext, leaving: &[BackendId]) {
+pub fn note_draining(context: &GatewayContext, leaving: &[BackendId]) {
     let mut backends = context.backends.lock();
     let changes: Vec<BackendChange> = leaving
         .iter()
-        .filter_map(|id| backends.note_leaving(id))
+        .filter_map(|id| backends.mark_listed_draining(id))
         .collect();
     drop(backends);
     note_heard_changes(context, &changes);
@@ -379,7 +383,7 @@
             changes.extend(backends.note_absent(now, &name));
             continue;
         }
-        let decoded = context.edges.format.decode_backend(key, &record.value);
+        let decoded = context.platform.format.decode_backend(key, &record.value);
         match decoded.and_then(|decoded| check_start(&backends, decoded)) {
             Ok(decoded) if whole => records.push(decoded),
             Ok(decoded) => changes.extend(backends.put(decoded)),
@@ -414,7 +418,7 @@
 /// write one can write thousands.
 fn note_refused_record(context: &GatewayContext, name: &BackendName, error: &FormatError) {
     counter!("cloverbend_backend_records_refused_total").increment(1);
-    if context.logs(&name.0, LineClass::Failure) {
+    if context.may_log(&name.0, LineClass::Failure) {
         warn!(context.log, "backend server's record refused"; "backend" => %name,
             "error" => %error);
     }
@@ -425,15 +429,15 @@
 fn follow_change(context: &GatewayContext, change: &BackendChange) {
     match change {
         BackendChange::Joined(record) => {
-            context.pool.forget_before(&record.id);
-            let ended = context.lives.end_before(&record.id);
+            context.pool.close_replaced(&record.id);
+            let ended = context.incarnations.cancel_replaced(&record.id);
             if ended > 0 {
                 info!(context.log, "backend server started again"; "backend" => %record.id,
                     "requests_lost" => ended);
             }
         }
-        BackendChange::Gone(id) => context.pool.forget(id),
-        BackendChange::Leaving(_) | BackendChange::Missing(_) => {}
+        BackendChange::Gone(id) => context.pool.close_idle(id),
+        BackendChange::Draining(_) | BackendChange::Missing(_) => {}
     }
 }
 
@@ -442,7 +446,7 @@
 /// one a second with the numbers.
 fn note_heard_changes(context: &GatewayContext, changes: &[BackendChange]) {
     counter!("cloverbend_backend_changes_total").increment(changes.len() as u64);
-    let mut heard = context.heard_changes.lock();
+    let mut heard = context.change_counts.lock();
     for change in changes {
         heard.note(change);
     }
@@ -462,7 +466,7 @@
                 "service" => %record.service, "zone" => %record.zone,
                 "address" => %record.address, "reclaimable" => record.reclaimable);
         }
-        BackendChange::Leaving(id) => {
+        BackendChange::Draining(id) => {
             info!(context.log, "backend server leaving"; "backend" => %id);
         }
         BackendChange::Missing(id) => {
@@ -491,10 +495,10 @@
 /// while their records are recent and for those that came since. Its newest
 /// records by key come in pages: with 295 entries that start together, 12 calls
 /// of each of them.
-pub async fn join_entries(context: Arc<GatewayContext>) {
+pub async fn discover_entries(context: Arc<GatewayContext>) {
     let listing = EntryListing {
         address: context.settings.peer_advertised,
-        strength: context.settings.strength.0,
+        strength: context.settings.hub_capacity.0,
     };
     // A struct of one address always has a JSON form.
     let Ok(value) = serde_json::to_vec(&listing) else {
@@ -502,7 +506,7 @@
     };
     let value = Bytes::from(value);
     let mut watch = DependencyWatch::new("store: entries");
-    let store = &context.edges.store;
+    let store = &context.platform.store;
     let name = context.settings.name.as_str();
     loop {
         let appended = store
@@ -518,7 +522,7 @@
     let mut next = Some(LogOffset(0));
     loop {
         let listed = match next {
-            None => store.newest(LogTopic::Entries).await,
+            None => store.read_latest(LogTopic::Entries).await,
             Some(from) => store.read(LogTopic::Entries, from, Duration::ZERO).await,
         };
         watch.note(&context, &listed);
@@ -528,7 +532,7 @@
                 continue;
             }
             Ok(slice) => slice,
-            Err(StoreError::Forgotten(_)) => {
+            Err(PlatformError::OffsetOutOfRange(_)) => {
                 next = None;
                 continue;
             }
@@ -553,7 +557,7 @@
 /// that is no hub, and that read the list before the hubs were on it, is told
 /// nothing by anybody.
 async fn wait_until_alone(context: &GatewayContext) {
-    while context.peers.lock().share_view(context.now()).heard > 1 {
+    while context.peers.lock().entry_counts(context.now()).reachable > 1 {
         tokio::time::sleep(ALONE_CHECK).await;
     }
 }
@@ -569,7 +573,7 @@
         let listing = serde_json::from_slice::<EntryListing>(&record.value);
         match (name, listing) {
             (Some(name), Ok(listing)) => {
-                let strength = VmStrength(listing.strength);
+                let strength = HubCapacity(listing.strength);
                 peers.note_listed(now, name, listing.address, strength);
             }
             _ => warn!(context.log, "entry's listing refused"; "key" => record.key.as_deref()),
--- a/lib/src/gateway/usage_table.rs
+++ b/lib/src/gateway/usage_table.rs
@@ -18,13 +18,13 @@
 pub type WindowCounts = BTreeMap<AccountName, u64>;
 
 /// Counts of several windows, by the life of the entry that counted.
-pub type LifeCounts = BTreeMap<WindowNumber, BTreeMap<Incarnation, WindowCounts>>;
+pub type IncarnationCounts = BTreeMap<WindowNumber, BTreeMap<Incarnation, WindowCounts>>;
 
 /// The counts that are known on one entry.
 #[derive(Clone, Debug)]
 pub struct UsageTable {
     own: Incarnation,
-    counts: LifeCounts,
+    counts: IncarnationCounts,
 }
 
 impl UsageTable {
@@ -51,7 +51,7 @@
 
     /// Notes what another incarnation counted. Counts only rise, so an older
     /// word changes nothing.
-    pub fn note_told(
+    pub fn note_peer_count(
         &mut self,
         from: Incarnation,
         window: WindowNumber,
@@ -80,7 +80,7 @@
     }
 
     /// Returns all that is known of the windows from `oldest` on.
-    pub fn since(&self, oldest: WindowNumber) -> LifeCounts {
+    pub fn since(&self, oldest: WindowNumber) -> IncarnationCounts {
         let recent = self.counts.range(oldest..);
         let recent = recent.map(|(window, lives)| (*window, lives.clone()));
         recent.collect()
@@ -88,11 +88,11 @@
 
     /// Takes over what an earlier holder of the lease knew. Counts of a life only
     /// rise, so what is known twice counts once.
-    pub fn restore(&mut self, windows: &LifeCounts) {
+    pub fn restore(&mut self, windows: &IncarnationCounts) {
         for (window, lives) in windows {
             for (life, counts) in lives {
                 for (account, count) in counts {
-                    self.note_told(*life, *window, account, *count);
+                    self.note_peer_count(*life, *window, account, *count);
                 }
             }
         }
--- a/lib/src/wire.rs
+++ b/lib/src/wire.rs
@@ -11,11 +11,11 @@
 use crate::answer::AnswerHead;
 use crate::configuration::RepeatRule;
 use crate::gateway::document_parts::DocumentPart;
+use crate::gateway::document_parts::DocumentPartFrame;
 use crate::gateway::document_parts::DocumentPull;
-use crate::gateway::document_parts::PartFrame;
-use crate::gateway::document_parts::PullDocumentFrame;
-use crate::gateway::news_frame::NewsFrame;
-use crate::gateway::peer_news::GatewayNews;
+use crate::gateway::document_parts::DocumentPullFrame;
+use crate::gateway::gossip_frame::GatewayGossipFrame;
+use crate::gateway::peer_gossip::GatewayGossip;
 use crate::gossip_wire::GossipFrame;
 use crate::gossip_wire::read_gossip;
 use crate::gossip_wire::write_gossip;
@@ -58,7 +58,7 @@
     /// The configuration in force; number 0 if there is none.
     ConfigPush(ConfigTransfer),
     /// What a gateway entry tells another.
-    News(Box<GatewayNews>),
+    News(Box<GatewayGossip>),
     /// Asks a gateway entry for a part of the configuration's document.
     DocumentPull(DocumentPull),
     /// A part of the configuration's document.
@@ -217,11 +217,11 @@
     #[prost(message, tag = "7")]
     ConfigPush(ConfigFrame),
     #[prost(message, boxed, tag = "8")]
-    News(Box<NewsFrame>),
+    News(Box<GatewayGossipFrame>),
     #[prost(message, tag = "9")]
-    DocumentPull(PullDocumentFrame),
+    DocumentPull(DocumentPullFrame),
     #[prost(message, tag = "10")]
-    DocumentPart(PartFrame),
+    DocumentPart(DocumentPartFrame),
 }
 
 #[derive(Clone, PartialEq, Message)]
--- a/lib/tests/test_backend_lives.rs
+++ b/lib/tests/test_backend_incarnations.rs
@@ -1,4 +1,4 @@
-//! Backend servers that start again under the name that they had.
+//! BackendState servers that start again under the name that they had.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use cloverbend::gateway::backend_record::BackendName;
 use cloverbend::gateway::backend_record::BackendOutcome;
 use cloverbend::gateway::backend_record::BackendRecord;
-use cloverbend::gateway::backend_record::LifeStart;
 use cloverbend::gateway::backend_record::LoadReport;
+use cloverbend::gateway::backend_record::StartTime;
 use cloverbend::gateway::backend_set::BackendChange;
 use cloverbend::gateway::backend_set::BackendSet;
-use cloverbend::gateway::life_watch::LifeWatch;
-use cloverbend::gateway::list_history::ListOffer;
+use cloverbend::gateway::incarnation_tracker::IncarnationTracker;
+use cloverbend::gateway::list_history::ListUpdate;
 use cloverbend::quantity::Timestamp;
 use rand::Rng;
 use rand::SeedableRng;
@@ -20,7 +20,7 @@
 fn life(name: &str, start: u64) -> BackendId {
     BackendId {
         name: BackendName(name.to_owned()),
-        start: LifeStart(start),
+        start: StartTime(start),
     }
 }
 
@@ -31,7 +31,7 @@
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "zone-a".parse().unwrap(),
         slots: 4,
-        leaving,
+        draining: leaving,
         reclaimable: false,
     }
 }
@@ -46,7 +46,7 @@
     let first = life("a", 100);
     set.put(record("a", 100, false));
     set.note_sent(at(1), &first, 5_000, &[7, 8]);
-    set.note_others(&first, 3, 4_000);
+    set.note_peer_load(&first, 3, 4_000);
     let load = LoadReport {
         running: 4,
         waiting: 2,
@@ -67,9 +67,9 @@
     format!(
         "{} leaving {} occupancy {} unread {} failures {:.2} excluded {} part {}",
         backend.record.id,
-        backend.record.leaving,
+        backend.record.draining,
         backend.occupancy(now),
-        backend.unread_tokens + backend.others_unread,
+        backend.pending_tokens + backend.peer_pending_tokens,
         backend.failure_share,
         backend.is_excluded(now),
         backend.part_used_at(7).is_some(),
@@ -85,10 +85,10 @@
     insta::assert_snapshot!(beliefs(&set, at(4)), @"a@200 leaving false occupancy 0 unread 0 failures 0.00 excluded false part false");
     // What is still under way at the first life changes nothing of the second.
     let first = life("a", 100);
-    set.note_read(&first, 5_000);
+    set.note_prefilled(&first, 5_000);
     set.note_left(&first, Duration::from_millis(10), true);
     set.note_outcome(at(5), &first, BackendOutcome::Broken);
-    set.note_others(&first, 9, 9);
+    set.note_peer_load(&first, 9, 9);
     assert_eq!(set.get(&first).map(|_| ()), None);
     insta::assert_snapshot!(beliefs(&set, at(6)), @"a@200 leaving false occupancy 0 unread 0 failures 0.00 excluded false part false");
 }
@@ -98,10 +98,10 @@
     let mut set = BackendSet::new();
     set.put(record("a", 100, true));
     set.put(record("a", 200, false));
-    assert!(set.get(&life("a", 200)).unwrap().takes_work());
+    assert!(set.get(&life("a", 200)).unwrap().accepts_requests());
     // That the first one leaves, as another entry tells late, is of the first.
-    assert_eq!(set.note_leaving(&life("a", 100)), None);
-    assert!(set.get(&life("a", 200)).unwrap().takes_work());
+    assert_eq!(set.mark_listed_draining(&life("a", 100)), None);
+    assert!(set.get(&life("a", 200)).unwrap().accepts_requests());
 }
 
 #[test]
@@ -126,7 +126,7 @@
 fn an_old_record_still_shows_that_the_name_is_there() {
     let mut set = BackendSet::new();
     set.put(record("a", 200, false));
-    set.note_store_back(at(1_000));
+    set.note_store_recovered(at(1_000));
     set.note_absent(at(1_100), &life("a", 200).name);
     set.put(record("a", 100, false));
     assert_eq!(set.expire_missing(at(9_000)), []);
@@ -138,7 +138,7 @@
     let mut set = BackendSet::new();
     set.put(record("a", 100, false));
     set.put(record("b", 100, false));
-    set.note_store_back(at(1_000));
+    set.note_store_recovered(at(1_000));
     let gone = set.note_unusable(&life("a", 100).name);
     assert_eq!(gone, Some(BackendChange::Gone(life("a", 100))));
     let left: Vec<String> = set.iter().map(|b| b.record.id.to_string()).collect();
@@ -178,14 +178,14 @@
                     late.push((number, record("a", start, leaves)));
                     continue;
                 }
-                match hub.offer(Some(entry.list_hash())) {
-                    ListOffer::Changes(changes) => {
-                        entry.apply_changes(at(time + 50), at(time), hub.list_hash(), changes);
+                match hub.list_update(Some(entry.list_digest())) {
+                    ListUpdate::Changes(changes) => {
+                        entry.apply_changes(at(time + 50), at(time), hub.list_digest(), changes);
                     }
-                    ListOffer::Whole(records) => {
-                        entry.replace_older(at(time + 50), at(time), records);
+                    ListUpdate::Full(records) => {
+                        entry.replace_if_newer(at(time + 50), at(time), records);
                     }
-                    ListOffer::Nothing => {}
+                    ListUpdate::Nothing => {}
                 }
             }
         }
@@ -193,8 +193,8 @@
             entries[number].put(record);
         }
         for entry in &mut entries {
-            entry.replace_older(at(3_050), at(3_000), hub.records());
-            assert_eq!(entry.list_hash(), hub.list_hash(), "seed {seed}");
+            entry.replace_if_newer(at(3_050), at(3_000), hub.records());
+            assert_eq!(entry.list_digest(), hub.list_digest(), "seed {seed}");
             assert_eq!(entry.records(), hub.records(), "seed {seed}");
         }
     }
@@ -204,10 +204,10 @@
 fn a_life_is_told_in_the_differences_of_the_list() {
     let mut hub = BackendSet::new();
     hub.put(record("a", 100, false));
-    let known = hub.list_hash();
+    let known = hub.list_digest();
     hub.put(record("a", 200, false));
-    assert_ne!(hub.list_hash(), known);
-    let ListOffer::Changes(changes) = hub.offer(Some(known)) else {
+    assert_ne!(hub.list_digest(), known);
+    let ListUpdate::Changes(changes) = hub.list_update(Some(known)) else {
         panic!("the difference is known");
     };
     assert_eq!(changes.records, [record("a", 200, false)]);
@@ -216,17 +216,17 @@
 
 #[test]
 fn requests_at_earlier_lives_hear_of_their_end_and_others_do_not() {
-    let watch = LifeWatch::new();
+    let watch = IncarnationTracker::new();
     let first = watch.enter(&life("a", 100));
     let second = watch.enter(&life("a", 200));
     let other = watch.enter(&life("b", 100));
-    assert_eq!(watch.end_before(&life("a", 200)), 1);
+    assert_eq!(watch.cancel_replaced(&life("a", 200)), 1);
     let ended = [&first, &second, &other].map(|token| token.is_cancelled());
     assert_eq!(ended, [true, false, false]);
     watch.leave(&life("a", 100));
-    assert_eq!(watch.end_before(&life("a", 300)), 1);
+    assert_eq!(watch.cancel_replaced(&life("a", 300)), 1);
     watch.leave(&life("a", 200));
-    assert_eq!(watch.end_before(&life("a", 400)), 0);
+    assert_eq!(watch.cancel_replaced(&life("a", 400)), 0);
 }
 
 /// A record that lapses and comes back is of the same life, which has said that it
@@ -238,20 +238,20 @@
     for id in [&resting, &leaving] {
         set.put(record(&id.name.0, 100, false));
     }
-    set.note_rest(at(1_000), &resting, Duration::from_secs(3));
-    set.note_said_leaving(&leaving);
+    set.note_back_off(at(1_000), &resting, Duration::from_secs(3));
+    set.note_reported_draining(&leaving);
     for id in [&resting, &leaving] {
         set.note_absent(at(1_500), &id.name);
         set.put(record(&id.name.0, 100, false));
     }
     let left = set.get(&resting).unwrap().rest_left(at(2_000));
     assert_eq!(left, Some(Duration::from_secs(2)));
-    assert!(!set.get(&leaving).unwrap().takes_work());
+    assert!(!set.get(&leaving).unwrap().accepts_requests());
     // A later life has said neither.
     for name in ["a", "b"] {
         set.put(record(name, 200, false));
         let backend = set.get(&life(name, 200)).unwrap();
         assert_eq!(backend.rest_left(at(2_000)), None);
-        assert!(backend.takes_work());
+        assert!(backend.accepts_requests());
     }
 }
--- a/lib/tests/test_crash_ledger.rs
+++ b/lib/tests/test_crash_ledger.rs
@@ -4,14 +4,14 @@
 
 use cloverbend::gateway::backend_record::BackendId;
 use cloverbend::gateway::backend_record::BackendName;
-use cloverbend::gateway::backend_record::LifeStart;
+use cloverbend::gateway::backend_record::StartTime;
 use cloverbend::gateway::call_digest::CallDigest;
+use cloverbend::gateway::crash_frames::CrashReportFrame;
+use cloverbend::gateway::crash_ledger::CRASH_RETENTION;
 use cloverbend::gateway::crash_ledger::CrashLedger;
 use cloverbend::gateway::crash_ledger::CrashReport;
-use cloverbend::gateway::crash_ledger::KEPT_FOR;
-use cloverbend::gateway::crash_news::CrashReportFrame;
 use cloverbend::gateway::crash_verdict::CrashRecord;
-use cloverbend::gateway::crash_verdict::LifeDigest;
+use cloverbend::gateway::crash_verdict::IncarnationDigest;
 use cloverbend::quantity::Timestamp;
 use prost::Message;
 use rstest::rstest;
@@ -23,7 +23,7 @@
 fn server(number: u64) -> BackendId {
     BackendId {
         name: BackendName(format!("server-{number}")),
-        start: LifeStart(1),
+        start: StartTime(1),
     }
 }
 
@@ -115,8 +115,8 @@
 }
 
 #[rstest]
-#[case::while_it_comes(KEPT_FOR / 2, true)]
-#[case::long_after(KEPT_FOR, false)]
+#[case::while_it_comes(CRASH_RETENTION / 2, true)]
+#[case::long_after(CRASH_RETENTION, false)]
 fn a_fatal_request_is_remembered_while_it_comes(#[case] later: Duration, #[case] refused: bool) {
     let mut ledger = CrashLedger::new();
     for number in 1..=3 {
@@ -186,7 +186,7 @@
     let report = CrashReport {
         digest: FATAL,
         record: CrashRecord {
-            crashes: [(LifeDigest(u64::MAX), Duration::from_micros(81_250))].into(),
+            crashes: [(IncarnationDigest(u64::MAX), Duration::from_micros(81_250))].into(),
             survivors: 3,
         },
         idle: Duration::from_millis(250),
--- a/lib/tests/test_crash_verdict.rs
+++ b/lib/tests/test_crash_verdict.rs
@@ -11,7 +11,7 @@
 
 use cloverbend::gateway::backend_record::BackendId;
 use cloverbend::gateway::backend_record::BackendName;
-use cloverbend::gateway::backend_record::LifeStart;
+use cloverbend::gateway::backend_record::StartTime;
 use cloverbend::gateway::call_digest::CallDigest;
 use cloverbend::gateway::crash_ledger::CrashLedger;
 use cloverbend::quantity::Timestamp;
@@ -220,7 +220,7 @@
         let server = &mut self.servers[number];
         let id = BackendId {
             name: BackendName(format!("server-{number}")),
-            start: LifeStart(server.life),
+            start: StartTime(server.life),
         };
         server.life += 1;
         server.back_at = self.now.after(DOWN);
--- a/lib/tests/test_damaged_input.rs
+++ b/lib/tests/test_damaged_input.rs
@@ -11,14 +11,14 @@
 use cloverbend::gateway::call_digest::CallDigest;
 use cloverbend::gateway::crash_ledger::CrashReport;
 use cloverbend::gateway::crash_verdict::CrashRecord;
-use cloverbend::gateway::crash_verdict::LifeDigest;
+use cloverbend::gateway::crash_verdict::IncarnationDigest;
 use cloverbend::gateway::document_parts::DocumentPart;
 use cloverbend::gateway::document_parts::DocumentPull;
 use cloverbend::gateway::duty_record::DutyRecord;
 use cloverbend::gateway::gateway_settings::GatewaySettings;
+use cloverbend::gateway::hub_capacity::HubCapacity;
 use cloverbend::gateway::packed_document::PackedDocument;
-use cloverbend::gateway::peer_news::GatewayNews;
-use cloverbend::gateway::vm_strength::VmStrength;
+use cloverbend::gateway::peer_gossip::GatewayGossip;
 use cloverbend::id::Incarnation;
 use cloverbend::id::LogOffset;
 use cloverbend::id::RevisionNumber;
@@ -90,13 +90,13 @@
     String::from_utf8_lossy(&damaged(whole.as_bytes(), damages)).into_owned()
 }
 
-fn news() -> GatewayNews {
-    let crashes = [(LifeDigest(6), Duration::from_millis(7))];
-    GatewayNews {
+fn news() -> GatewayGossip {
+    let crashes = [(IncarnationDigest(6), Duration::from_millis(7))];
+    GatewayGossip {
         sent_at: 5,
         revision: RevisionNumber(1),
-        tells: true,
-        wants_digest: true,
+        reports_state: true,
+        wants_summary: true,
         backends_hash: 3,
         crashes: vec![CrashReport {
             digest: CallDigest(5),
@@ -106,11 +106,11 @@
             },
             idle: Duration::from_millis(8),
         }],
-        ..GatewayNews::of_entry(
+        ..GatewayGossip::new(
             Incarnation(1),
             "entry-1".parse().unwrap(),
             "127.0.0.1:1".parse().unwrap(),
-            VmStrength(100),
+            HubCapacity(100),
         )
     }
 }
--- a/lib/tests/test_document_transfer.rs
+++ b/lib/tests/test_document_transfer.rs
@@ -7,11 +7,11 @@
 use cloverbend::gateway::document_parts::DocumentPart;
 use cloverbend::gateway::document_parts::DocumentPull;
 use cloverbend::gateway::document_parts::PART_BYTES;
-use cloverbend::gateway::document_transfer::ArrivedDocument;
-use cloverbend::gateway::document_transfer::DocumentShelf;
+use cloverbend::gateway::document_transfer::CachedDocument;
+use cloverbend::gateway::document_transfer::DocumentCache;
+use cloverbend::gateway::document_transfer::DocumentFetcher;
 use cloverbend::gateway::document_transfer::DocumentSource;
-use cloverbend::gateway::document_transfer::DocumentTransfer;
-use cloverbend::gateway::document_transfer::KeptDocument;
+use cloverbend::gateway::document_transfer::ReceivedDocument;
 use cloverbend::gateway::packed_document::DocumentError;
 use cloverbend::gateway::packed_document::MAX_DOCUMENT_BYTES;
 use cloverbend::gateway::packed_document::PackedDocument;
@@ -31,8 +31,8 @@
     (0..length).map(|_| draws.random()).collect()
 }
 
-fn kept(revision: u64, length: usize) -> KeptDocument {
-    KeptDocument {
+fn kept(revision: u64, length: usize) -> CachedDocument {
+    CachedDocument {
         revision: RevisionNumber(revision),
         document: PackedDocument::pack(&noise(revision, length)).unwrap(),
         log_end: Some(LogOffset(revision * 10)),
@@ -54,14 +54,14 @@
 
 /// Runs a transfer without losses, until it is whole.
 fn fetch(
-    transfer: &mut DocumentTransfer,
-    shelf: &mut DocumentShelf,
+    transfer: &mut DocumentFetcher,
+    shelf: &mut DocumentCache,
     sources: &[DocumentSource],
-) -> ArrivedDocument {
+) -> ReceivedDocument {
     for step in 0..100 {
         let now = Timestamp::from_millis(step);
         let (_, pull) = transfer.next_pull(now, address(0), sources).unwrap();
-        let part = shelf.answer(now, &pull).unwrap();
+        let part = shelf.part_for(now, &pull).unwrap();
         if let Some(arrived) = transfer.take_part(OWN, &part) {
             return arrived;
         }
@@ -74,20 +74,20 @@
 #[case::a_whole_number_of_parts(3 * PART_BYTES)]
 #[case::many_parts(7 * PART_BYTES + 1)]
 fn a_document_arrives_whole(#[case] length: usize) {
-    let mut shelf = DocumentShelf::new();
+    let mut shelf = DocumentCache::new();
     shelf.put(Timestamp(0), kept(4, length));
-    let mut transfer = DocumentTransfer::new();
+    let mut transfer = DocumentFetcher::new();
     let arrived = fetch(&mut transfer, &mut shelf, &[source(1, 4)]);
     assert_eq!(arrived.document.unpack().unwrap(), noise(4, length));
     assert_eq!(arrived.revision, RevisionNumber(4));
     assert_eq!(arrived.log_end, Some(LogOffset(40)));
-    assert_eq!(transfer.held_bytes(), 0);
+    assert_eq!(transfer.buffered_bytes(), 0);
 }
 
 #[test]
 fn one_question_is_open_at_a_time_however_many_entries_are_ahead() {
     let sources: Vec<DocumentSource> = (1..320).map(|number| source(number, 4)).collect();
-    let mut transfer = DocumentTransfer::new();
+    let mut transfer = DocumentFetcher::new();
     let asked = (0..599).filter_map(|at| {
         let now = Timestamp::from_millis(at);
         transfer.next_pull(now, address(0), &sources)
@@ -97,13 +97,13 @@
 
 #[test]
 fn another_entry_goes_on_where_one_fell_silent() {
-    let mut shelf = DocumentShelf::new();
+    let mut shelf = DocumentCache::new();
     shelf.put(Timestamp(0), kept(4, 2 * PART_BYTES));
     let sources = [source(1, 4), source(2, 4)];
-    let mut transfer = DocumentTransfer::new();
+    let mut transfer = DocumentFetcher::new();
     let at = Timestamp::from_millis;
     let (first, pull) = transfer.next_pull(at(0), address(0), &sources).unwrap();
-    let part = shelf.answer(at(0), &pull).unwrap();
+    let part = shelf.part_for(at(0), &pull).unwrap();
     assert_eq!(transfer.take_part(OWN, &part), None);
     let (same, _) = transfer.next_pull(at(1), address(0), &sources).unwrap();
     assert_eq!(same, first);
@@ -119,31 +119,31 @@
 #[case::shorter(2 * PART_BYTES)]
 #[case::longer(9 * PART_BYTES)]
 fn a_document_that_is_packed_otherwise_elsewhere_is_begun_anew(#[case] length: usize) {
-    let mut here = DocumentShelf::new();
+    let mut here = DocumentCache::new();
     here.put(Timestamp(0), kept(4, 5 * PART_BYTES));
-    let mut there = DocumentShelf::new();
+    let mut there = DocumentCache::new();
     let packed = kept(9, length).document;
     there.put(
         Timestamp(0),
-        KeptDocument {
+        CachedDocument {
             document: packed,
             ..kept(4, 1)
         },
     );
-    let mut transfer = DocumentTransfer::new();
+    let mut transfer = DocumentFetcher::new();
     let at = Timestamp::from_millis;
     for step in 0..3 {
         let (_, pull) = transfer
             .next_pull(at(step), address(0), &[source(1, 4)])
             .unwrap();
-        let part = here.answer(at(step), &pull).unwrap();
+        let part = here.part_for(at(step), &pull).unwrap();
         assert_eq!(transfer.take_part(OWN, &part), None);
     }
     // The first one is gone; the other is all there is.
     let arrived = (0..100).find_map(|step| {
         let now = at(10 + step * 100);
         let (_, pull) = transfer.next_pull(now, address(0), &[source(2, 4)])?;
-        let part = there.answer(now, &pull)?;
+        let part = there.part_for(now, &pull)?;
         transfer.take_part(OWN, &part)
     });
     let arrived = arrived.expect("not whole after ten seconds");
@@ -152,24 +152,24 @@
 
 #[test]
 fn nothing_is_held_once_nobody_is_ahead() {
-    let mut shelf = DocumentShelf::new();
+    let mut shelf = DocumentCache::new();
     shelf.put(Timestamp(0), kept(4, 2 * PART_BYTES));
-    let mut transfer = DocumentTransfer::new();
+    let mut transfer = DocumentFetcher::new();
     let now = Timestamp(0);
     let (_, pull) = transfer
         .next_pull(now, address(0), &[source(1, 4)])
         .unwrap();
-    let part = shelf.answer(now, &pull).unwrap();
+    let part = shelf.part_for(now, &pull).unwrap();
     transfer.take_part(OWN, &part);
-    assert_eq!(transfer.held_bytes(), PART_BYTES);
+    assert_eq!(transfer.buffered_bytes(), PART_BYTES);
     assert_eq!(transfer.next_pull(now, address(0), &[]), None);
-    assert_eq!(transfer.held_bytes(), 0);
+    assert_eq!(transfer.buffered_bytes(), 0);
 }
 
 #[test]
 fn a_document_that_cannot_be_used_is_not_asked_for_over_and_over() {
     let sources = [source(1, 4), source(2, 4)];
-    let mut transfer = DocumentTransfer::new();
+    let mut transfer = DocumentFetcher::new();
     let at = Timestamp::from_millis;
     let (first, _) = transfer.next_pull(at(0), address(0), &sources).unwrap();
     let bytes = Bytes::from_static(b"no packed document");
@@ -203,9 +203,9 @@
 
 #[test]
 fn an_entry_finishes_what_it_began_however_often_the_configuration_changes() {
-    let mut shelf = DocumentShelf::new();
+    let mut shelf = DocumentCache::new();
     shelf.put(Timestamp(0), kept(1, 9 * PART_BYTES));
-    let mut transfer = DocumentTransfer::new();
+    let mut transfer = DocumentFetcher::new();
     let mut newest = 1;
     let mut arrived = None;
     // A part takes 50 ms, and every 300 ms there is another revision.
@@ -219,7 +219,7 @@
         let Some((_, pull)) = transfer.next_pull(now, address(0), &sources) else {
             continue;
         };
-        let part = shelf.answer(now, &pull).unwrap();
+        let part = shelf.part_for(now, &pull).unwrap();
         arrived = arrived.or(transfer.take_part(OWN, &part));
         assert!(shelf.kept_bytes() <= 2 * 10 * PART_BYTES);
     }
@@ -281,12 +281,12 @@
         parts in 1_usize..5,
     ) {
         let mut draws = StdRng::seed_from_u64(seed);
-        let mut shelves = [DocumentShelf::new(), DocumentShelf::new()];
+        let mut shelves = [DocumentCache::new(), DocumentCache::new()];
         let mut revisions = [1_u64, 1];
         for shelf in &mut shelves {
             shelf.put(Timestamp(0), kept(1, parts * PART_BYTES));
         }
-        let mut transfer = DocumentTransfer::new();
+        let mut transfer = DocumentFetcher::new();
         let mut own = OWN;
         let mut late: Vec<DocumentPart> = Vec::new();
         for step in 0..600_u64 {
@@ -302,7 +302,7 @@
                 ahead.map(|n| source(n, revisions[usize::from(n)])).collect();
             if let Some((asked, pull)) = transfer.next_pull(now, address(9), &sources) {
                 let shelf = &mut shelves[usize::from(asked.port() - 1_000)];
-                late.extend(shelf.answer(now, &pull));
+                late.extend(shelf.part_for(now, &pull));
             }
             if rough && draws.random_bool(0.2) {
                 late.pop();
@@ -321,7 +321,7 @@
                 prop_assert_eq!(arrived.document.unpack().unwrap(), expected);
                 own = arrived.revision;
             }
-            prop_assert!(transfer.held_bytes() <= (parts + 1) * PART_BYTES);
+            prop_assert!(transfer.buffered_bytes() <= (parts + 1) * PART_BYTES);
         }
         prop_assert_eq!(own.0, revisions[0].max(revisions[1]));
     }
--- a/lib/tests/test_fatal_desk.rs
+++ b/lib/tests/test_fatal_sync.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cloverbend::gateway::call_digest::CallDigest;
-use cloverbend::gateway::fatal_desk::FatalDesk;
-use cloverbend::gateway::fatal_desk::FatalStep;
+use cloverbend::gateway::fatal_sync::FatalStep;
+use cloverbend::gateway::fatal_sync::FatalSync;
 use cloverbend::quantity::Timestamp;
 
 fn set(digests: &[u64]) -> BTreeSet<CallDigest> {
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_new_holder_reads_first_and_writes_what_differs() {
-    let mut desk = FatalDesk::default();
+    let mut desk = FatalSync::default();
     let now = Timestamp::from_millis(5_000);
     assert_eq!(desk.next_step(now, &set(&[1])), FatalStep::Read);
     assert_eq!(desk.note_read(now, set(&[2])), set(&[2]));
@@ -23,14 +23,14 @@
     let forgotten = desk.next_step(now, &set(&[]));
     assert_eq!(forgotten, FatalStep::Remove(CallDigest(2)));
     assert_eq!(desk.next_step(now, &set(&[2])), FatalStep::Wait);
-    desk.begin();
+    desk.reset();
     assert_eq!(desk.next_step(now, &set(&[2])), FatalStep::Read);
 }
 
 /// A former holder removes a request, and adds one, after the new holder has read.
 #[test]
 fn what_a_former_holder_wrote_late_is_made_good() {
-    let mut desk = FatalDesk::default();
+    let mut desk = FatalSync::default();
     let now = Timestamp::from_millis(5_000);
     let known = set(&[1, 2]);
     desk.note_read(now, known.clone());
--- a/lib/tests/test_gateway_backends.rs
+++ b/lib/tests/test_gateway_backends.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
+use cloverbend::gateway::backend_choice::ChoiceQuery;
+use cloverbend::gateway::backend_choice::choose_backend;
 use cloverbend::gateway::backend_record::BackendId;
 use cloverbend::gateway::backend_record::BackendOutcome;
 use cloverbend::gateway::backend_record::BackendRecord;
 use cloverbend::gateway::backend_record::LoadReport;
 use cloverbend::gateway::backend_set::BackendChange;
 use cloverbend::gateway::backend_set::BackendSet;
-use cloverbend::gateway::call_head::PromptPart;
-use cloverbend::gateway::engine_choice::ChoiceQuery;
-use cloverbend::gateway::engine_choice::choose_backend;
+use cloverbend::gateway::call_head::PromptBlock;
 use cloverbend::gateway::list_history::ListChanges;
-use cloverbend::gateway::list_history::ListOffer;
-use cloverbend::gateway::send_budget::SendBudget;
-use cloverbend::gateway::send_budget::SendBudgetRule;
+use cloverbend::gateway::list_history::ListUpdate;
+use cloverbend::gateway::retry_budget::RetryBudget;
+use cloverbend::gateway::retry_budget::RetryBudgetRule;
 use cloverbend::gateway::server_limits::ServerLimits;
 use cloverbend::id::ServiceName;
 use cloverbend::id::ZoneName;
@@ -23,18 +23,18 @@
 
 fn record(id: &str, leaving: bool) -> BackendRecord {
     BackendRecord {
-        id: BackendId::untimed(id),
+        id: BackendId::without_start(id),
         service: "pool".parse().unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "zone-a".parse().unwrap(),
         slots: 4,
-        leaving,
+        draining: leaving,
         reclaimable: false,
     }
 }
 
 fn id(text: &str) -> BackendId {
-    BackendId::untimed(text)
+    BackendId::without_start(text)
 }
 
 fn set_of(ids: &[&str]) -> BackendSet {
@@ -54,7 +54,7 @@
     let mut set = set_of(&["a", "b"]);
     let gone = set.note_absent(at(10_000), &id("a").name);
     assert_eq!(gone, Some(BackendChange::Gone(id("a"))));
-    set.note_store_back(at(20_000));
+    set.note_store_recovered(at(20_000));
     let missing = set.note_absent(at(20_500), &id("b").name);
     assert_eq!(missing, Some(BackendChange::Missing(id("b"))));
     assert_eq!(set.expire_missing(at(21_000)), []);
@@ -69,7 +69,7 @@
 fn a_list_that_others_kept_fresh_needs_no_grace() {
     let mut set = set_of(&["a"]);
     set.confirm(at(19_500));
-    set.note_store_back(at(20_000));
+    set.note_store_recovered(at(20_000));
     let gone = set.note_absent(at(20_100), &id("a").name);
     assert_eq!(gone, Some(BackendChange::Gone(id("a"))));
 }
@@ -77,7 +77,7 @@
 #[test]
 fn a_list_with_missing_servers_proves_nothing() {
     let mut set = set_of(&["a", "b"]);
-    set.note_store_back(at(1_000));
+    set.note_store_recovered(at(1_000));
     set.note_absent(at(1_100), &id("a").name);
     set.confirm(at(1_200));
     assert_eq!(set.confirmed_at(), None);
@@ -92,10 +92,10 @@
     set.put(record("a", true));
     set.confirm(at(10_000));
     // Read by the other entry just before, and heard of just after.
-    let changes = set.replace_older(at(10_050), at(9_950), vec![record("a", false)]);
+    let changes = set.replace_if_newer(at(10_050), at(9_950), vec![record("a", false)]);
     assert_eq!(changes, []);
-    assert!(!set.get(&id("a")).unwrap().takes_work());
-    let changes = set.replace_older(at(10_150), at(10_100), vec![record("b", false)]);
+    assert!(!set.get(&id("a")).unwrap().accepts_requests());
+    let changes = set.replace_if_newer(at(10_150), at(10_100), vec![record("b", false)]);
     let joined = BackendChange::Joined(record("b", false));
     assert_eq!(changes, [joined, BackendChange::Gone(id("a"))]);
 }
@@ -103,26 +103,26 @@
 #[test]
 fn a_server_that_leaves_takes_no_work_again_whatever_comes_later() {
     let mut set = set_of(&["a", "b"]);
-    let leaving = BackendChange::Leaving(id("a"));
+    let leaving = BackendChange::Draining(id("a"));
     assert_eq!(set.put(record("a", true)), Some(leaving));
     assert_eq!(set.put(record("a", false)), None);
     assert_eq!(
         set.replace(at(10_000), vec![record("a", false), record("b", false)]),
         []
     );
-    assert!(!set.get(&id("a")).unwrap().takes_work());
+    assert!(!set.get(&id("a")).unwrap().accepts_requests());
     // So say other entries also while their own list has gaps.
-    let leaving = BackendChange::Leaving(id("b"));
-    assert_eq!(set.note_leaving(&id("b")), Some(leaving));
-    assert_eq!(set.note_leaving(&id("b")), None);
-    assert_eq!(set.note_leaving(&id("unknown")), None);
-    assert!(!set.get(&id("b")).unwrap().takes_work());
+    let leaving = BackendChange::Draining(id("b"));
+    assert_eq!(set.mark_listed_draining(&id("b")), Some(leaving));
+    assert_eq!(set.mark_listed_draining(&id("b")), None);
+    assert_eq!(set.mark_listed_draining(&id("unknown")), None);
+    assert!(!set.get(&id("b")).unwrap().accepts_requests());
 }
 
 /// Returns the differences that `set` offers to an entry with that digest.
 fn changes_for(set: &BackendSet, digest: u64) -> ListChanges {
-    match set.offer(Some(digest)) {
-        ListOffer::Changes(changes) => changes,
+    match set.list_update(Some(digest)) {
+        ListUpdate::Changes(changes) => changes,
         other => panic!("no differences but {other:?}"),
     }
 }
@@ -132,26 +132,26 @@
     let mut hub = set_of(&["a", "b", "c"]);
     let mut leaf = hub.clone();
     hub.put(record("d", false));
-    hub.note_leaving(&id("a"));
+    hub.mark_listed_draining(&id("a"));
     hub.note_absent(at(10_000), &id("b").name);
-    let changes = changes_for(&hub, leaf.list_hash());
+    let changes = changes_for(&hub, leaf.list_digest());
     assert_eq!(changes.records, [record("a", true), record("d", false)]);
     assert_eq!(changes.gone, [id("b").name]);
-    leaf.apply_changes(at(10_050), at(10_000), hub.list_hash(), changes);
+    leaf.apply_changes(at(10_050), at(10_000), hub.list_digest(), changes);
     assert_eq!(leaf.records(), hub.records());
-    assert_eq!(leaf.list_hash(), hub.list_hash());
+    assert_eq!(leaf.list_digest(), hub.list_digest());
 }
 
 #[test]
 fn differences_that_overlap_are_taken_over_once() {
     let mut hub = set_of(&["a"]);
     let mut leaf = hub.clone();
-    let known = leaf.list_hash();
+    let known = leaf.list_digest();
     hub.put(record("b", false));
-    let first = (changes_for(&hub, known), hub.list_hash());
+    let first = (changes_for(&hub, known), hub.list_digest());
     hub.put(record("c", false));
     // The leaf's word that it has the first had not come yet.
-    let second = (changes_for(&hub, known), hub.list_hash());
+    let second = (changes_for(&hub, known), hub.list_digest());
     for (changes, target) in [first, second] {
         leaf.apply_changes(at(10_050), at(10_000), target, changes);
     }
@@ -161,12 +161,12 @@
 #[test]
 fn a_difference_to_another_list_changes_nothing() {
     let mut hub = set_of(&["a"]);
-    let known = hub.list_hash();
+    let known = hub.list_digest();
     hub.put(record("b", false));
     let changes = changes_for(&hub, known);
     let mut other = set_of(&["x"]);
     assert_eq!(
-        other.apply_changes(at(10_050), at(10_000), hub.list_hash(), changes),
+        other.apply_changes(at(10_050), at(10_000), hub.list_digest(), changes),
         []
     );
     assert_eq!(other.records(), [record("x", false)]);
@@ -176,12 +176,12 @@
 fn a_difference_from_before_the_own_proof_changes_nothing() {
     let mut hub = set_of(&["a"]);
     let mut leaf = hub.clone();
-    let known = hub.list_hash();
+    let known = hub.list_digest();
     hub.put(record("b", false));
     let changes = changes_for(&hub, known);
     leaf.confirm(at(10_000));
     assert_eq!(
-        leaf.apply_changes(at(10_050), at(9_950), hub.list_hash(), changes),
+        leaf.apply_changes(at(10_050), at(9_950), hub.list_digest(), changes),
         []
     );
 }
@@ -189,22 +189,22 @@
 #[test]
 fn whoever_has_lost_track_is_told_the_whole_list() {
     let hub = set_of(&["a", "b"]);
-    let whole = ListOffer::Whole(hub.records());
-    assert_eq!(hub.offer(Some(77)), whole);
-    assert_eq!(hub.offer(None), whole);
+    let whole = ListUpdate::Full(hub.records());
+    assert_eq!(hub.list_update(Some(77)), whole);
+    assert_eq!(hub.list_update(None), whole);
 }
 
 #[test]
 fn equal_lists_have_equal_digests() {
     let mut one = set_of(&["a", "b"]);
     let other = set_of(&["b", "a"]);
-    assert_eq!(one.list_hash(), other.list_hash());
+    assert_eq!(one.list_digest(), other.list_digest());
     one.put(record("a", true));
-    assert_ne!(one.list_hash(), other.list_hash());
+    assert_ne!(one.list_digest(), other.list_digest());
 }
 
-fn part(number: u64, tokens: u64) -> PromptPart {
-    PromptPart {
+fn part(number: u64, tokens: u64) -> PromptBlock {
+    PromptBlock {
         id: number,
         tokens: TokenCount(tokens),
     }
@@ -225,7 +225,7 @@
         }
     }
 
-    fn choose(&self, set: &BackendSet, now: Timestamp, parts: &[PromptPart]) -> Option<String> {
+    fn choose(&self, set: &BackendSet, now: Timestamp, parts: &[PromptBlock]) -> Option<String> {
         self.choose_untried(set, now, parts, &[])
     }
 
@@ -233,13 +233,13 @@
         &self,
         set: &BackendSet,
         now: Timestamp,
-        parts: &[PromptPart],
+        parts: &[PromptBlock],
         tried: &[BackendId],
     ) -> Option<String> {
         let query = ChoiceQuery {
             service: &self.service,
             zone: &self.zone,
-            parts,
+            prompt_blocks: parts,
             tried,
             limits: &self.limits,
         };
@@ -311,7 +311,7 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut set = set_of(&names);
     for name in &names[1..] {
-        set.note_others(&id(name), 1, 200);
+        set.note_peer_load(&id(name), 1, 200);
     }
     let mut chosen: std::collections::BTreeMap<String, usize> = Default::default();
     for request in 0..300 {
@@ -423,13 +423,13 @@
 
 #[test]
 fn sends_beyond_the_first_stay_below_the_bound_over_all_entries() {
-    let rule = SendBudgetRule {
+    let rule = RetryBudgetRule {
         ratio: 0.2,
         reserve: 50.0,
         window: Duration::from_secs(10),
     };
     let service: ServiceName = "pool".parse().unwrap();
-    let mut entries = vec![SendBudget::new(); 8];
+    let mut entries = vec![RetryBudget::new(); 8];
     let mut taken = 0;
     for millis in (0..10_000).step_by(100) {
         for entry in &mut entries {
--- a/lib/tests/test_gateway_held_bytes.rs
+++ b/lib/tests/test_gateway_byte_budget.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use cloverbend::gateway::held_bytes::ByteBudget;
-use cloverbend::gateway::held_bytes::HeldBuffer;
-use cloverbend::gateway::held_bytes::NoRoom;
+use cloverbend::gateway::byte_budget::ByteBudget;
+use cloverbend::gateway::byte_budget::HeldBuffer;
+use cloverbend::gateway::byte_budget::NoRoom;
 use rstest::rstest;
 
 #[test]
--- a/lib/tests/test_gateway_config.rs
+++ b/lib/tests/test_gateway_config.rs
@@ -117,7 +117,7 @@
     // A sender that does not know its place in the log changes nothing.
     assert!(offer(&mut follower, 4, None));
     assert_eq!(follower.log_end(), Some(LogOffset(8)));
-    follower.forget_log();
+    follower.reset_log_end();
     assert_eq!(follower.log_end(), None);
 }
 
--- a/lib/tests/test_gateway_duties.rs
+++ b/lib/tests/test_gateway_duties.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cloverbend::gateway::duty_lease::DutyLease;
 use cloverbend::gateway::duty_record::DutyRecord;
-use cloverbend::gateway::lease_terms::LeaseTerms;
-use cloverbend::gateway::replica_plan::ReplicaDemand;
-use cloverbend::gateway::replica_plan::ReplicaPlanner;
-use cloverbend::gateway::replica_plan::ReplicaSupply;
-use cloverbend::gateway::replica_plan::ZoneSupply;
+use cloverbend::gateway::lease_state::LeaseState;
+use cloverbend::gateway::lease_timings::LeaseTimings;
+use cloverbend::gateway::replica_planner::ReplicaDemand;
+use cloverbend::gateway::replica_planner::ReplicaPlanner;
+use cloverbend::gateway::replica_planner::ReplicaSupply;
+use cloverbend::gateway::replica_planner::ZoneSupply;
 use cloverbend::gateway::site_config::ScaleRule;
 use cloverbend::id::Incarnation;
 use cloverbend::id::LogOffset;
@@ -42,13 +42,13 @@
     }
 }
 
-fn entry(number: u64) -> DutyLease {
+fn entry(number: u64) -> LeaseState {
     let name = format!("entry-{number}").parse().unwrap();
-    let terms = LeaseTerms::with_cooldown(LEASE);
-    DutyLease::new(at(0), name, Incarnation(number), terms, false)
+    let terms = LeaseTimings::with_cooldown(LEASE);
+    LeaseState::new(at(0), name, Incarnation(number), terms, false)
 }
 
-fn read(lease: &mut DutyLease, offset: u64, record: DutyRecord) {
+fn read(lease: &mut LeaseState, offset: u64, record: DutyRecord) {
     lease.note_generation(at(0), StoreGeneration(0));
     lease.note_read(at(0), LogOffset(offset), record);
 }
--- a/lib/tests/test_gateway_limits.rs
+++ b/lib/tests/test_gateway_limits.rs
@@ -27,7 +27,9 @@
     AccountRule {
         name: "depots".parse().unwrap(),
         priority: None,
-        unit: LimitUnit::Tokens { plain: 200 },
+        unit: LimitUnit::Tokens {
+            default_tokens: 200,
+        },
         rate: RATE,
         burst: RATE,
     }
@@ -79,7 +81,10 @@
         } else {
             entries - self.cut.len()
         };
-        ShareView { entries, heard }
+        ShareView {
+            entries,
+            reachable: heard,
+        }
     }
 
     fn offer(&mut self, now: Timestamp, entry: usize, units: u64) {
@@ -98,13 +103,13 @@
                 .admitted()
                 .next()
                 .map_or(0, |(_, units)| units);
-            self.entries[0].note_told(Incarnation(*entry as u64), &account, own, true);
+            self.entries[0].note_peer_total(Incarnation(*entry as u64), &account, own, true);
         }
-        self.entries[0].merge_told(now, Incarnation(0), [&account]);
+        self.entries[0].merge_peer_totals(now, Incarnation(0), [&account]);
         for entry in &connected[1..] {
             let left_out = Some(Incarnation(*entry as u64));
             for total in self.entries[0].totals_without(left_out) {
-                self.entries[*entry].merge(now, Incarnation(0), &account, total.units);
+                self.entries[*entry].merge_total(now, Incarnation(0), &account, total.units);
             }
         }
     }
@@ -117,15 +122,15 @@
         let connected: Vec<usize> = entries.filter(|e| !self.cut.contains(e)).collect();
         for entry in &connected {
             for total in self.entries[0].totals_without(Some(Incarnation(*entry as u64))) {
-                self.entries[*entry].merge(now, Incarnation(0), &account, total.units);
+                self.entries[*entry].merge_total(now, Incarnation(0), &account, total.units);
             }
         }
         for entry in &connected {
             let own = self.entries[*entry].admitted().next();
             let own = own.map_or(0, |(_, units)| units);
-            self.entries[0].note_told(Incarnation(*entry as u64), &account, own, true);
+            self.entries[0].note_peer_total(Incarnation(*entry as u64), &account, own, true);
         }
-        self.entries[0].merge_told(now, Incarnation(0), [&account]);
+        self.entries[0].merge_peer_totals(now, Incarnation(0), [&account]);
     }
 
     /// Returns the most that was admitted in any window.
@@ -361,7 +366,10 @@
 #[case::without_news(4)]
 fn an_entry_without_news_gives_out_its_part_for_ever(#[case] entries: usize) {
     let mut limits = AccountLimits::new(Incarnation(0), true, SLACK);
-    let view = ShareView { entries, heard: 1 };
+    let view = ShareView {
+        entries,
+        reachable: 1,
+    };
     let mut admitted = 0;
     for millis in 0..40_000 {
         let now = Timestamp::from_millis(millis);
@@ -384,9 +392,9 @@
     let mut limits = AccountLimits::new(Incarnation(0), false, SLACK);
     let view = ShareView {
         entries: 1,
-        heard: 1,
+        reachable: 1,
     };
-    limits.note_heard(Timestamp(0));
+    limits.note_gossip(Timestamp(0));
     let mut admit = |now| limits.admit(now, &rule(), 100, view);
     let admitted = std::iter::from_fn(|| admit(Timestamp(0)).ok()).count() as u64 * 100;
     // The burst and 0.35 of the slack make a bucket. A request needs a level of
@@ -402,13 +410,13 @@
     let mut limits = AccountLimits::new(Incarnation(0), true, SLACK);
     let view = ShareView {
         entries: 1,
-        heard: 1,
+        reachable: 1,
     };
     let account = rule().name;
     limits.admit(Timestamp(0), &rule(), 5_000, view).unwrap();
     let before = limits.level(&account);
     limits.admit(Timestamp(0), &rule(), 700, view).unwrap();
-    limits.give_back(&account, 700);
+    limits.refund(&account, 700);
     assert_eq!(limits.level(&account), before);
     assert_eq!(limits.admitted().next(), Some((&account, 5_000)));
 }
@@ -419,9 +427,9 @@
     let account: AccountName = rule().name;
     let view = ShareView {
         entries: 3,
-        heard: 3,
+        reachable: 3,
     };
-    limits.note_heard(Timestamp(0));
+    limits.note_gossip(Timestamp(0));
     limits.admit(Timestamp(0), &rule(), 0, view).unwrap();
     let full = limits.level(&account).unwrap();
     for (hub, units) in [
@@ -433,7 +441,7 @@
         (1, 400),
         (2, 900),
     ] {
-        limits.merge(Timestamp(0), Incarnation(hub), &account, units);
+        limits.merge_total(Timestamp(0), Incarnation(hub), &account, units);
     }
     assert_eq!(limits.level(&account), Some(full - 900.0));
 }
@@ -443,10 +451,10 @@
     let account: AccountName = "depots".parse().unwrap();
     let mut usage = UsageTable::new(Incarnation(1));
     usage.count(10, &account);
-    usage.note_told(Incarnation(2), 10, &account, 5);
-    usage.note_told(Incarnation(2), 10, &account, 3);
-    usage.note_told(Incarnation(3), 10, &account, 2);
-    usage.note_told(Incarnation(1), 10, &account, 99);
+    usage.note_peer_count(Incarnation(2), 10, &account, 5);
+    usage.note_peer_count(Incarnation(2), 10, &account, 3);
+    usage.note_peer_count(Incarnation(3), 10, &account, 2);
+    usage.note_peer_count(Incarnation(1), 10, &account, 99);
     insta::assert_debug_snapshot!(usage.total(10), @r#"
     {
         AccountName(
@@ -481,14 +489,14 @@
     let mut limits = AccountLimits::new(Incarnation(0), true, SLACK);
     let view = ShareView {
         entries: ENTRIES,
-        heard: ENTRIES,
+        reachable: ENTRIES,
     };
     let at = Timestamp::from_millis;
-    limits.note_heard(at(1_000));
+    limits.note_gossip(at(1_000));
     limits.admit(at(1_010), &rule(), 20_000, view).unwrap();
     let after = limits.admit(at(1_100), &rule(), 30_000, view).unwrap_err();
     assert!(after <= Duration::from_millis(150), "{after:?}");
-    limits.note_heard(at(1_250));
+    limits.note_gossip(at(1_250));
     assert_eq!(limits.admit(at(1_250), &rule(), 30_000, view), Ok(()));
 }
 
@@ -500,15 +508,15 @@
     let now = Timestamp::from_millis(1_000);
     let alone = ShareView {
         entries: 1,
-        heard: 1,
+        reachable: 1,
     };
     hub.admit(now, &rule(), 7, alone).unwrap();
     // The first was heard from its start on, the second only later.
-    hub.note_told(Incarnation(1), &account, 100, true);
-    hub.note_told(Incarnation(2), &account, 1_000, false);
-    hub.note_told(Incarnation(2), &account, 1_030, false);
+    hub.note_peer_total(Incarnation(1), &account, 100, true);
+    hub.note_peer_total(Incarnation(2), &account, 1_000, false);
+    hub.note_peer_total(Incarnation(2), &account, 1_030, false);
     // An older word changes nothing.
-    hub.note_told(Incarnation(1), &account, 90, true);
+    hub.note_peer_total(Incarnation(1), &account, 90, true);
     let total = |hub: &AccountLimits, left_out| {
         let left_out: Option<u64> = left_out;
         let totals = hub.totals_without(left_out.map(Incarnation));
@@ -530,12 +538,12 @@
     let account: AccountName = "depots".parse().unwrap();
     let (lost, living) = (Incarnation(1), Incarnation(2));
     let mut earlier = UsageTable::new(Incarnation(3));
-    earlier.note_told(lost, 7, &account, 10);
-    earlier.note_told(living, 7, &account, 20);
+    earlier.note_peer_count(lost, 7, &account, 10);
+    earlier.note_peer_count(living, 7, &account, 20);
     earlier.count(7, &account);
     let written = earlier.since(7);
     let mut next = UsageTable::new(Incarnation(4));
-    next.note_told(living, 7, &account, 25);
+    next.note_peer_count(living, 7, &account, 25);
     next.restore(&written);
     next.count(7, &account);
     // 10 of the lost one, 25 of the living one, one of each holder.
--- a/lib/tests/test_gateway_peers.rs
+++ b/lib/tests/test_gateway_peers.rs
@@ -6,29 +6,29 @@
 use cloverbend::gateway::backend_record::BackendId;
 use cloverbend::gateway::backend_record::BackendName;
 use cloverbend::gateway::backend_record::BackendRecord;
-use cloverbend::gateway::backend_record::LifeStart;
+use cloverbend::gateway::backend_record::StartTime;
 use cloverbend::gateway::call_digest::CallDigest;
 use cloverbend::gateway::crash_ledger::CrashReport;
 use cloverbend::gateway::crash_verdict::CrashRecord;
-use cloverbend::gateway::crash_verdict::LifeDigest;
+use cloverbend::gateway::crash_verdict::IncarnationDigest;
 use cloverbend::gateway::event_splitter::EventSplitter;
+use cloverbend::gateway::gossip_frame::GatewayGossipFrame;
+use cloverbend::gateway::hub_capacity::HubCapacity;
 use cloverbend::gateway::list_history::ListChanges;
-use cloverbend::gateway::news_frame::NewsFrame;
-use cloverbend::gateway::notice_book::ToldNotice;
-use cloverbend::gateway::peer_book::DueMessage;
-use cloverbend::gateway::peer_book::HUB_COUNT;
-use cloverbend::gateway::peer_book::HeardLife;
-use cloverbend::gateway::peer_book::PeerBook;
-use cloverbend::gateway::peer_news::BackendUse;
-use cloverbend::gateway::peer_news::ConfigEcho;
-use cloverbend::gateway::peer_news::GatewayNews;
-use cloverbend::gateway::peer_news::HubDigest;
-use cloverbend::gateway::peer_news::HubView;
-use cloverbend::gateway::peer_news::ServiceWork;
-use cloverbend::gateway::peer_news::WindowCount;
+use cloverbend::gateway::peer_gossip::BackendUse;
+use cloverbend::gateway::peer_gossip::FreshnessEcho;
+use cloverbend::gateway::peer_gossip::GatewayGossip;
+use cloverbend::gateway::peer_gossip::HubSummary;
+use cloverbend::gateway::peer_gossip::HubView;
+use cloverbend::gateway::peer_gossip::ServiceDemand;
+use cloverbend::gateway::peer_gossip::WindowCount;
+use cloverbend::gateway::peer_table::DueMessage;
+use cloverbend::gateway::peer_table::HUB_COUNT;
+use cloverbend::gateway::peer_table::HeardLife;
+use cloverbend::gateway::peer_table::PeerTable;
+use cloverbend::gateway::report_table::RelayedReport;
 use cloverbend::gateway::send_permits::LimitedSends;
 use cloverbend::gateway::send_permits::PermitGrant;
-use cloverbend::gateway::vm_strength::VmStrength;
 use cloverbend::id::EntryName;
 use cloverbend::id::FenceToken;
 use cloverbend::id::Incarnation;
@@ -40,17 +40,17 @@
 use prost::Message;
 
 const ROUND_MS: u64 = 250;
-const STRENGTH: VmStrength = VmStrength(100);
+const STRENGTH: HubCapacity = HubCapacity(100);
 
 fn name(number: usize) -> EntryName {
     format!("entry-{number}").parse().unwrap()
 }
 
-fn news(number: usize, sent_at: u64) -> GatewayNews {
-    GatewayNews {
+fn news(number: usize, sent_at: u64) -> GatewayGossip {
+    GatewayGossip {
         sent_at,
         revision: RevisionNumber(1),
-        ..GatewayNews::of_entry(
+        ..GatewayGossip::new(
             Incarnation(number as u64 + 1),
             name(number),
             format!("127.0.0.1:{}", 1_000 + number).parse().unwrap(),
@@ -61,7 +61,7 @@
 
 /// Entries that run rounds and hand their messages over at once.
 struct PeerWorld {
-    books: Vec<PeerBook>,
+    books: Vec<PeerTable>,
     dead: Vec<usize>,
     sent: usize,
     round: u32,
@@ -69,8 +69,8 @@
 
 impl PeerWorld {
     fn new(count: usize) -> Self {
-        let mut books: Vec<PeerBook> = (0..count)
-            .map(|n| PeerBook::new(name(n), STRENGTH))
+        let mut books: Vec<PeerTable> = (0..count)
+            .map(|n| PeerTable::new(name(n), STRENGTH))
             .collect();
         for book in &mut books {
             for number in 0..count {
@@ -102,9 +102,15 @@
                 if self.dead.contains(&sender) {
                     continue;
                 }
-                for message in self.books[sender].due(now, self.round) {
+                for message in self.books[sender].take_due_messages(now, self.round) {
                     self.sent += 1;
-                    self.deliver(sender, &message.name, message.tells, message.digest, now);
+                    self.deliver(
+                        sender,
+                        &message.name,
+                        message.reports_state,
+                        message.has_summary,
+                        now,
+                    );
                 }
             }
         }
@@ -125,28 +131,28 @@
             return;
         }
         let mut message = news(sender, now.0);
-        message.tells = tells;
-        message.wants_digest = tells;
-        let share = self.books[sender].direct_view(now);
+        message.reports_state = tells;
+        message.wants_summary = tells;
+        let share = self.books[sender].direct_entry_counts(now);
         message.view = digest.then(|| HubView {
             entries: share.entries,
-            heard: share.heard,
+            reachable: share.reachable,
             fence: None,
-            uses: Vec::new(),
+            backend_loads: Vec::new(),
         });
-        self.books[receiver].note_news(now, &message);
+        self.books[receiver].apply_gossip(now, &message);
     }
 
     fn heard(&self) -> Vec<usize> {
         let now = self.now();
         let living = (0..self.books.len()).filter(|number| !self.dead.contains(number));
         living
-            .map(|number| self.books[number].share_view(now).heard)
+            .map(|number| self.books[number].entry_counts(now).reachable)
             .collect()
     }
 
     fn first_hubs(&self) -> Vec<usize> {
-        let ranks = self.books.iter().map(|book| book.rank(self.now()));
+        let ranks = self.books.iter().map(|book| book.hub_rank(self.now()));
         let mut ranked: Vec<(usize, usize)> = ranks.zip(0..).collect();
         ranked.sort_unstable();
         ranked.into_iter().map(|(_, number)| number).collect()
@@ -178,13 +184,13 @@
 fn answers_of_each_round_are_spread_over_the_hubs() {
     let mut answers = std::collections::BTreeMap::new();
     for number in 0..60 {
-        let mut book = PeerBook::new(name(number), STRENGTH);
+        let mut book = PeerTable::new(name(number), STRENGTH);
         for other in 0..60 {
             let address = news(other, 0).address;
             book.note_listed(Timestamp(0), name(other), address, STRENGTH);
         }
-        let due = book.due(Timestamp(1), 1);
-        let primary = due.into_iter().find(|message| message.wants_digest);
+        let due = book.take_due_messages(Timestamp(1), 1);
+        let primary = due.into_iter().find(|message| message.wants_summary);
         *answers.entry(primary.unwrap().name).or_insert(0) += 1;
     }
     assert!(answers.values().all(|count| *count <= 30), "{answers:?}");
@@ -192,9 +198,9 @@
 
 #[test]
 fn weak_vms_are_hubs_only_if_there_are_no_others() {
-    let mut book = PeerBook::new(name(0), VmStrength(10));
+    let mut book = PeerTable::new(name(0), HubCapacity(10));
     for number in 1..10 {
-        let strength = VmStrength(if number < 3 { 200 } else { 10 });
+        let strength = HubCapacity(if number < 3 { 200 } else { 10 });
         book.note_listed(
             Timestamp(0),
             name(number),
@@ -203,7 +209,7 @@
         );
     }
     let hubs: Vec<EntryName> = book
-        .due(Timestamp(1), 1)
+        .take_due_messages(Timestamp(1), 1)
         .into_iter()
         .map(|due| due.name)
         .collect();
@@ -212,9 +218,9 @@
         hubs.contains(&name(1)) && hubs.contains(&name(2)),
         "{hubs:?}"
     );
-    assert!(book.rank(Timestamp(1)) >= 2);
-    assert_eq!(VmStrength::of(10.0, 0.5), VmStrength(10));
-    assert_eq!(VmStrength::of(200.0, 0.12), VmStrength(48));
+    assert!(book.hub_rank(Timestamp(1)) >= 2);
+    assert_eq!(HubCapacity::of(10.0, 0.5), HubCapacity(10));
+    assert_eq!(HubCapacity::of(200.0, 0.12), HubCapacity(48));
 }
 
 #[test]
@@ -229,7 +235,7 @@
         .iter()
         .find(|number| !world.dead.contains(number))
         .unwrap();
-    assert_eq!(world.books[*first].rank(world.now()), 0);
+    assert_eq!(world.books[*first].hub_rank(world.now()), 0);
 }
 
 #[test]
@@ -243,42 +249,45 @@
 
 #[test]
 fn news_of_an_earlier_moment_change_nothing() {
-    let mut book = PeerBook::new(name(0), STRENGTH);
+    let mut book = PeerTable::new(name(0), STRENGTH);
     let mut newer = news(1, 500);
-    newer.tells = true;
+    newer.reports_state = true;
     newer.fence = Some(FenceToken(7));
-    let life = book.note_news(Timestamp(1_000), &newer);
+    let life = book.apply_gossip(Timestamp(1_000), &newer);
     assert_eq!(life, HeardLife::New { replaced: None });
     let mut older = news(1, 400);
-    older.tells = true;
-    assert_eq!(book.note_news(Timestamp(1_100), &older), HeardLife::Known);
-    assert_eq!(book.heard_fence(Timestamp(1_200)), Some(FenceToken(7)));
+    older.reports_state = true;
+    assert_eq!(
+        book.apply_gossip(Timestamp(1_100), &older),
+        HeardLife::Known
+    );
+    assert_eq!(book.highest_fence(Timestamp(1_200)), Some(FenceToken(7)));
 }
 
 /// The list is read as a log, in which an entry that started again stands twice.
 #[test]
 fn an_entry_that_was_not_heard_is_where_it_was_listed_last() {
-    let mut book = PeerBook::new(name(0), STRENGTH);
+    let mut book = PeerTable::new(name(0), STRENGTH);
     let [first, last] = [news(1, 0).address, news(2, 0).address];
     book.note_listed(Timestamp(1_000), name(1), first, STRENGTH);
     book.note_listed(Timestamp(1_000), name(1), last, STRENGTH);
     assert_eq!(book.get(&name(1)).unwrap().address, last);
-    book.note_news(Timestamp(2_000), &news(1, 500));
+    book.apply_gossip(Timestamp(2_000), &news(1, 500));
     book.note_listed(Timestamp(2_100), name(1), last, STRENGTH);
     assert_eq!(book.get(&name(1)).unwrap().address, first);
 }
 
 #[test]
 fn the_age_of_knowledge_is_counted_from_the_message_that_is_answered() {
-    let mut book = PeerBook::new(name(0), STRENGTH);
+    let mut book = PeerTable::new(name(0), STRENGTH);
     let mut heard = news(1, 500);
     heard.fence = Some(FenceToken(7));
-    book.note_news(Timestamp(9_000), &heard);
+    book.apply_gossip(Timestamp(9_000), &heard);
     let echo = book.echo(&name(1), Some(Timestamp(7_000)), Some(Timestamp(9_500)));
-    let expected = ConfigEcho {
+    let expected = FreshnessEcho {
         incarnation: Incarnation(2),
         sent_at: 500,
-        age: Some(2_000),
+        config_age: Some(2_000),
         backends_age: Some(-500),
         fence: Some(FenceToken(7)),
     };
@@ -287,53 +296,54 @@
 
 #[test]
 fn a_life_that_replaces_another_names_it() {
-    let mut book = PeerBook::new(name(0), STRENGTH);
+    let mut book = PeerTable::new(name(0), STRENGTH);
     let mut heard = news(1, 500);
-    book.note_news(Timestamp(1_000), &heard);
+    book.apply_gossip(Timestamp(1_000), &heard);
     let before = heard.incarnation;
     heard.incarnation = Incarnation(77);
-    let life = book.note_news(Timestamp(2_000), &heard);
+    let life = book.apply_gossip(Timestamp(2_000), &heard);
     let replaced = Some(before);
     assert_eq!(life, HeardLife::New { replaced });
 }
 
 /// Returns a hub's book with one entry that tells it its news, and what is due
 /// to that entry in a round.
-fn due_of(book: &mut PeerBook, at: u64, round: u32) -> Option<DueMessage> {
-    let due = book.due(Timestamp::from_millis(at), round);
+fn due_of(book: &mut PeerTable, at: u64, round: u32) -> Option<DueMessage> {
+    let due = book.take_due_messages(Timestamp::from_millis(at), round);
     due.into_iter().find(|message| message.name == name(1))
 }
 
 #[test]
 fn a_digest_that_a_busy_link_left_out_is_due_in_the_next_round() {
-    let mut book = PeerBook::new(name(0), STRENGTH);
+    let mut book = PeerTable::new(name(0), STRENGTH);
     let mut told = news(1, 500);
-    told.tells = true;
-    book.note_news(Timestamp::from_millis(1_000), &told);
+    told.reports_state = true;
+    book.apply_gossip(Timestamp::from_millis(1_000), &told);
     // The fourth round has a digest, the ones after it have none.
     let skipped = due_of(&mut book, 1_000, 4).unwrap();
-    assert!(skipped.digest);
+    assert!(skipped.has_summary);
     book.note_skipped(Timestamp::from_millis(1_000), &skipped);
-    let digests = [5, 6].map(|round| due_of(&mut book, 1_000, round).is_some_and(|due| due.digest));
+    let digests =
+        [5, 6].map(|round| due_of(&mut book, 1_000, round).is_some_and(|due| due.has_summary));
     assert_eq!(digests, [true, false]);
 }
 
 #[test]
 fn a_hub_that_was_asked_nothing_does_not_become_suspect() {
-    let mut book = PeerBook::new(name(0), STRENGTH);
-    book.note_news(Timestamp::from_millis(1_000), &news(1, 500));
+    let mut book = PeerTable::new(name(0), STRENGTH);
+    book.apply_gossip(Timestamp::from_millis(1_000), &news(1, 500));
     for round in 5..25 {
         let at = 1_000 + u64::from(round) * 250;
         let due = due_of(&mut book, at, round).unwrap();
-        assert!(due.tells && !due.reopen);
+        assert!(due.reports_state && !due.reopen);
         book.note_skipped(Timestamp::from_millis(at), &due);
     }
 }
 
 #[test]
 fn a_list_is_not_offered_again_before_its_receiver_can_have_answered() {
-    let mut book = PeerBook::new(name(0), STRENGTH);
-    book.note_news(Timestamp::from_millis(1_000), &news(1, 500));
+    let mut book = PeerTable::new(name(0), STRENGTH);
+    book.apply_gossip(Timestamp::from_millis(1_000), &news(1, 500));
     let mut offers = |at, hash| book.offers_list(Timestamp::from_millis(at), &name(1), hash);
     let offered = [(1_000, 7), (1_250, 7), (1_300, 8), (1_700, 8), (1_900, 8)];
     let offered = offered.map(|(at, hash)| offers(at, hash));
@@ -342,11 +352,11 @@
 
 #[test]
 fn only_entries_that_were_heard_lately_with_a_newer_revision_are_asked_for_it() {
-    let mut book = PeerBook::new(name(0), STRENGTH);
-    let heard = |book: &mut PeerBook, number: usize, at: u64, revision: u64| {
+    let mut book = PeerTable::new(name(0), STRENGTH);
+    let heard = |book: &mut PeerTable, number: usize, at: u64, revision: u64| {
         let mut heard = news(number, 500);
         heard.revision = RevisionNumber(revision);
-        book.note_news(Timestamp::from_millis(at), &heard);
+        book.apply_gossip(Timestamp::from_millis(at), &heard);
     };
     heard(&mut book, 1, 9_000, 4);
     heard(&mut book, 2, 9_000, 5);
@@ -355,7 +365,7 @@
     let mut earlier = news(6, 500);
     earlier.revision = RevisionNumber(7);
     earlier.answers_pulls = false;
-    book.note_news(Timestamp::from_millis(9_000), &earlier);
+    book.apply_gossip(Timestamp::from_millis(9_000), &earlier);
     book.note_listed(
         Timestamp::from_millis(9_000),
         name(5),
@@ -371,9 +381,9 @@
 fn entries_that_are_behind_do_not_all_ask_the_same_one() {
     let mut first = std::collections::BTreeMap::new();
     for asking in 10..310 {
-        let mut book = PeerBook::new(name(asking), STRENGTH);
+        let mut book = PeerTable::new(name(asking), STRENGTH);
         for hub in 0..3 {
-            book.note_news(Timestamp(9_000), &news(hub, 500));
+            book.apply_gossip(Timestamp(9_000), &news(hub, 500));
         }
         let ahead = book.ahead(Timestamp(9_000), RevisionNumber(0));
         *first.entry(ahead[0].address).or_insert(0) += 1;
@@ -385,24 +395,24 @@
 fn life(name: &str) -> BackendId {
     BackendId {
         name: BackendName(name.to_owned()),
-        start: LifeStart(1_700_000_000_000),
+        start: StartTime(1_700_000_000_000),
     }
 }
 
-fn full_news() -> GatewayNews {
+fn full_news() -> GatewayGossip {
     let mut full = news(3, 77);
-    full.leaving = true;
-    full.echo = Some(ConfigEcho {
+    full.draining = true;
+    full.echo = Some(FreshnessEcho {
         incarnation: Incarnation(9),
         sent_at: 5,
-        age: None,
+        config_age: None,
         backends_age: Some(-6),
         fence: Some(FenceToken(4)),
     });
     full.fence = Some(FenceToken(0));
     full.duties_end = LogOffset(12);
-    full.tells = true;
-    full.wants_digest = true;
+    full.reports_state = true;
+    full.wants_summary = true;
     full.backends_hash = 8;
     let units = AdmittedUnits {
         account: "depots".parse().unwrap(),
@@ -420,20 +430,20 @@
         unread: 300,
         start: 12,
     };
-    full.uses = vec![load.clone()];
-    full.work = vec![ServiceWork {
+    full.backend_loads = vec![load.clone()];
+    full.service_demand = vec![ServiceDemand {
         service: "pool".to_owned(),
         tokens_per_s: 11,
         busy_milli: 12,
         requests_milli: 13,
     }];
-    full.notices = vec![ToldNotice {
+    full.reports = vec![RelayedReport {
         id: life("b"),
         limit: Some(RequestRate(1.5)),
-        leaving: true,
+        draining: true,
         age: Duration::from_millis(14),
     }];
-    full.notices_hash = 15;
+    full.reports_hash = 15;
     full.sends = vec![LimitedSends {
         id: life("b"),
         sent: 16,
@@ -441,38 +451,38 @@
     full.crashes = vec![CrashReport {
         digest: CallDigest(5),
         record: CrashRecord {
-            crashes: [(LifeDigest(6), Duration::from_millis(7))].into(),
+            crashes: [(IncarnationDigest(6), Duration::from_millis(7))].into(),
             survivors: 1,
         },
         idle: Duration::from_millis(8),
     }];
     full.view = Some(HubView {
         entries: 5,
-        heard: 4,
+        reachable: 4,
         fence: Some(FenceToken(3)),
-        uses: vec![load],
+        backend_loads: vec![load],
     });
-    full.digest = Some(HubDigest {
+    full.summary = Some(HubSummary {
         admitted: vec![units],
-        hubs: vec![(name(4), "127.0.0.1:9".parse().unwrap(), VmStrength(7))],
+        hubs: vec![(name(4), "127.0.0.1:9".parse().unwrap(), HubCapacity(7))],
         backends: Some(vec![BackendRecord {
             id: life("b"),
             service: "pool".parse().unwrap(),
             address: "127.0.0.1:8".parse().unwrap(),
             zone: "zone-a".parse().unwrap(),
             slots: 4,
-            leaving: true,
+            draining: true,
             reclaimable: true,
         }]),
         changes: Some(ListChanges {
             records: Vec::new(),
             gone: vec![BackendName("d".to_owned())],
         }),
-        leaving: vec![life("c")],
-        notices: vec![ToldNotice {
+        draining: vec![life("c")],
+        reports: vec![RelayedReport {
             id: life("c"),
             limit: None,
-            leaving: false,
+            draining: false,
             age: Duration::ZERO,
         }],
         permits: vec![PermitGrant {
@@ -485,20 +495,20 @@
 
 #[test]
 fn news_pass_the_wire_unchanged() {
-    let bytes = NewsFrame::from(full_news()).encode_to_vec();
-    let frame = NewsFrame::decode(bytes.as_slice()).unwrap();
-    assert_eq!(GatewayNews::try_from(frame), Ok(full_news()));
+    let bytes = GatewayGossipFrame::from(full_news()).encode_to_vec();
+    let frame = GatewayGossipFrame::decode(bytes.as_slice()).unwrap();
+    assert_eq!(GatewayGossip::try_from(frame), Ok(full_news()));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn damaged_news_are_refused_or_read(at in 0_usize..200, byte in any::<u8>()) {
-        let mut bytes = NewsFrame::from(full_news()).encode_to_vec();
+        let mut bytes = GatewayGossipFrame::from(full_news()).encode_to_vec();
         let at = at % bytes.len();
         bytes[at] = byte;
-        if let Ok(frame) = NewsFrame::decode(bytes.as_slice()) {
-            let _ = GatewayNews::try_from(frame);
+        if let Ok(frame) = GatewayGossipFrame::decode(bytes.as_slice()) {
+            let _ = GatewayGossip::try_from(frame);
         }
     }
 
@@ -547,7 +557,7 @@
             passed.extend_from_slice(&batch.bytes);
             last = batch.last_id.or(last);
             if *let_through {
-                passed.extend_from_slice(&splitter.let_through());
+                passed.extend_from_slice(&splitter.flush_partial());
             }
             let whole = ends.iter().filter(|end| **end <= passed.len()).count();
             prop_assert_eq!(last.unwrap_or(0), whole as u64);
--- a/lib/tests/test_gateway_size.rs
+++ b/lib/tests/test_gateway_size.rs
@@ -6,15 +6,15 @@
 use cloverbend::gateway::backend_record::BackendId;
 use cloverbend::gateway::backend_record::BackendRecord;
 use cloverbend::gateway::backend_set::BackendSet;
-use cloverbend::gateway::list_history::ListOffer;
-use cloverbend::gateway::news_frame::NewsFrame;
-use cloverbend::gateway::peer_book::DueMessage;
-use cloverbend::gateway::peer_book::PeerBook;
-use cloverbend::gateway::peer_news::GatewayNews;
-use cloverbend::gateway::peer_news::HubDigest;
-use cloverbend::gateway::store_rhythm::ReaderState;
-use cloverbend::gateway::store_rhythm::StoreRhythm;
-use cloverbend::gateway::vm_strength::VmStrength;
+use cloverbend::gateway::gossip_frame::GatewayGossipFrame;
+use cloverbend::gateway::hub_capacity::HubCapacity;
+use cloverbend::gateway::list_history::ListUpdate;
+use cloverbend::gateway::peer_gossip::GatewayGossip;
+use cloverbend::gateway::peer_gossip::HubSummary;
+use cloverbend::gateway::peer_table::DueMessage;
+use cloverbend::gateway::peer_table::PeerTable;
+use cloverbend::gateway::read_schedule::ReadSchedule;
+use cloverbend::gateway::read_schedule::ReaderState;
 use cloverbend::id::EntryName;
 use cloverbend::id::Incarnation;
 use cloverbend::id::RevisionNumber;
@@ -38,24 +38,24 @@
     format!("127.0.0.1:{}", 1_000 + number).parse().unwrap()
 }
 
-fn strength(number: usize) -> VmStrength {
-    VmStrength(if number < 18 { 500 } else { 120 })
+fn strength(number: usize) -> HubCapacity {
+    HubCapacity(if number < 18 { 500 } else { 120 })
 }
 
 fn server(number: usize) -> BackendRecord {
     BackendRecord {
-        id: BackendId::untimed(format!("i-{number:08}")),
+        id: BackendId::without_start(format!("i-{number:08}")),
         service: "pool".parse().unwrap(),
         address: address(number % 60_000),
         zone: format!("zone-{}", number % ZONES).parse().unwrap(),
         slots: 12,
-        leaving: false,
+        draining: false,
         reclaimable: true,
     }
 }
 
 struct SizeEntry {
-    book: PeerBook,
+    book: PeerTable,
     list: BackendSet,
     /// When it may read the store again.
     rested_at: Timestamp,
@@ -71,14 +71,14 @@
     next_server: usize,
     now: Timestamp,
     calls: usize,
-    on_the_way: Vec<(usize, GatewayNews)>,
+    on_the_way: Vec<(usize, GatewayGossip)>,
     dead: Vec<usize>,
 }
 
 impl SizeWorld {
     fn new() -> Self {
         let entry = |number| {
-            let mut book = PeerBook::new(name(number), strength(number));
+            let mut book = PeerTable::new(name(number), strength(number));
             for other in 0..ENTRIES {
                 book.note_listed(Timestamp(0), name(other), address(other), strength(other));
             }
@@ -144,17 +144,17 @@
     fn read(&mut self, number: usize) {
         let now = self.now;
         let entry = &mut self.entries[number];
-        let rhythm = StoreRhythm::of_bound(BOUND);
+        let rhythm = ReadSchedule::with_bound(BOUND);
         let state = ReaderState {
-            rank: entry.book.rank(now),
-            readers: rhythm.readers(80.0, entry.list.iter().count()),
+            rank: entry.book.hub_rank(now),
+            max_readers: rhythm.max_readers(80.0, entry.list.iter().count()),
             holds_lease: false,
-            age: entry.list.confirmed_at().map(|at| now.since(at)),
+            view_age: entry.list.confirmed_at().map(|at| now.since(at)),
             first_start: true,
-            knows_others: true,
+            has_entry_list: true,
             uptime: now.since(Timestamp(0)),
         };
-        if now < entry.rested_at || !state.reads(rhythm) {
+        if now < entry.rested_at || !state.should_read_store(rhythm) {
             return;
         }
         let pages = self.listed.iter().count().div_ceil(PAGE);
@@ -162,52 +162,53 @@
         entry.has_read = true;
         entry.list.replace(now, self.listed.records());
         entry.list.confirm(now);
-        entry.rested_at = now.after(rhythm.pause());
+        entry.rested_at = now.after(rhythm.poll_interval());
     }
 
     fn send(&mut self, number: usize, round: u32) {
         let now = self.now;
-        for message in self.entries[number].book.due(now, round) {
+        for message in self.entries[number].book.take_due_messages(now, round) {
             let news = self.news(number, &message);
-            self.entries[number].sent_bytes += NewsFrame::from(news.clone()).encoded_len();
+            self.entries[number].sent_bytes += GatewayGossipFrame::from(news.clone()).encoded_len();
             let receiver = (0..ENTRIES).find(|other| name(*other) == message.name);
             let receiver = receiver.filter(|other| !self.dead.contains(other));
             self.on_the_way.extend(receiver.map(|other| (other, news)));
         }
     }
 
-    fn news(&mut self, number: usize, message: &DueMessage) -> GatewayNews {
+    fn news(&mut self, number: usize, message: &DueMessage) -> GatewayGossip {
         let now = self.now;
         let entry = &mut self.entries[number];
         let receiver = entry.book.get(&message.name);
         let known = receiver.map_or(0, |peer| peer.backends_hash);
-        let hash = entry.list.list_hash();
-        let offers =
-            message.digest && known != hash && entry.book.offers_list(now, &message.name, hash);
-        let (backends, changes) = match offers.then(|| entry.list.offer(Some(known))) {
-            None | Some(ListOffer::Nothing) => (None, None),
-            Some(ListOffer::Whole(records)) => (Some(records), None),
-            Some(ListOffer::Changes(changes)) => (None, Some(changes)),
+        let hash = entry.list.list_digest();
+        let offers = message.has_summary
+            && known != hash
+            && entry.book.offers_list(now, &message.name, hash);
+        let (backends, changes) = match offers.then(|| entry.list.list_update(Some(known))) {
+            None | Some(ListUpdate::Nothing) => (None, None),
+            Some(ListUpdate::Full(records)) => (Some(records), None),
+            Some(ListUpdate::Changes(changes)) => (None, Some(changes)),
         };
-        GatewayNews {
+        GatewayGossip {
             sent_at: now.0,
             revision: RevisionNumber(1),
             echo: entry
                 .book
                 .echo(&message.name, None, entry.list.confirmed_at()),
-            tells: message.tells,
-            wants_digest: message.wants_digest,
+            reports_state: message.reports_state,
+            wants_summary: message.wants_summary,
             backends_hash: hash,
-            digest: message.digest.then(|| HubDigest {
+            summary: message.has_summary.then(|| HubSummary {
                 admitted: Vec::new(),
                 hubs: Vec::new(),
                 backends,
                 changes,
-                leaving: Vec::new(),
-                notices: Vec::new(),
+                draining: Vec::new(),
+                reports: Vec::new(),
                 permits: Vec::new(),
             }),
-            ..GatewayNews::of_entry(
+            ..GatewayGossip::new(
                 Incarnation(number as u64 + 1),
                 name(number),
                 address(number),
@@ -216,10 +217,10 @@
         }
     }
 
-    fn receive(&mut self, number: usize, news: &GatewayNews) {
+    fn receive(&mut self, number: usize, news: &GatewayGossip) {
         let now = self.now;
         let entry = &mut self.entries[number];
-        entry.book.note_news(now, news);
+        entry.book.apply_gossip(now, news);
         let own = Incarnation(number as u64 + 1);
         let Some(echo) = news.echo.filter(|echo| echo.incarnation == own) else {
             return;
@@ -229,9 +230,9 @@
         };
         let known_at = Timestamp(echo.sent_at.saturating_add_signed(age.saturating_neg()));
         let hash = news.backends_hash;
-        if let Some(digest) = &news.digest {
+        if let Some(digest) = &news.summary {
             if let Some(records) = &digest.backends {
-                entry.list.replace_older(now, known_at, records.clone());
+                entry.list.replace_if_newer(now, known_at, records.clone());
             }
             if let Some(changes) = &digest.changes {
                 entry
@@ -239,7 +240,7 @@
                     .apply_changes(now, known_at, hash, changes.clone());
             }
         }
-        if entry.list.list_hash() == hash {
+        if entry.list.list_digest() == hash {
             entry.list.confirm(known_at);
         }
     }
@@ -280,8 +281,8 @@
 
     /// Returns how many entries have another list than the store.
     fn behind(&self) -> usize {
-        let hash = self.listed.list_hash();
-        let lists = self.entries.iter().map(|entry| entry.list.list_hash());
+        let hash = self.listed.list_digest();
+        let lists = self.entries.iter().map(|entry| entry.list.list_digest());
         lists.filter(|other| *other != hash).count()
     }
 }
@@ -342,7 +343,7 @@
     let mut world = SizeWorld::new();
     world.run(5, 0);
     let mut ranked: Vec<usize> = (0..ENTRIES).collect();
-    ranked.sort_by_key(|number| world.entries[*number].book.rank(world.now));
+    ranked.sort_by_key(|number| world.entries[*number].book.hub_rank(world.now));
     world.dead = ranked[..2].to_vec();
     let figures = world.run(10, 10);
     insta::assert_debug_snapshot!(figures, @r"
--- a/lib/tests/test_duty_lease.rs
+++ b/lib/tests/test_lease_state.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use cloverbend::gateway::duty_lease::DutyLease;
-use cloverbend::gateway::duty_lease::TenureEnd;
 use cloverbend::gateway::duty_record::DutyRecord;
-use cloverbend::gateway::lease_terms::LeaseTerms;
+use cloverbend::gateway::lease_state::LeaseState;
+use cloverbend::gateway::lease_state::TenureEnd;
+use cloverbend::gateway::lease_timings::LeaseTimings;
 use cloverbend::id::EntryName;
 use cloverbend::id::FenceToken;
 use cloverbend::id::Incarnation;
@@ -14,8 +14,8 @@
 use cloverbend::quantity::Timestamp;
 use rstest::rstest;
 
-const TERMS: LeaseTerms = LeaseTerms {
-    term: Duration::from_millis(2_000),
+const TERMS: LeaseTimings = LeaseTimings {
+    short_term: Duration::from_millis(2_000),
     long_term: Duration::from_millis(12_000),
     drift_percent: 5,
     rank_step: Duration::from_millis(200),
@@ -38,48 +38,48 @@
 }
 
 /// An entry that started at 0 with others that had run before.
-fn entry(number: u64) -> DutyLease {
-    DutyLease::new(at(0), name(number), Incarnation(number), TERMS, false)
+fn entry(number: u64) -> LeaseState {
+    LeaseState::new(at(0), name(number), Incarnation(number), TERMS, false)
 }
 
 /// Reads an empty topic to its end.
-fn read_empty(lease: &mut DutyLease, now: Timestamp) {
+fn read_empty(lease: &mut LeaseState, now: Timestamp) {
     lease.note_generation(now, FIRST);
-    lease.note_end(now, lease.next_offset());
+    lease.note_read_end(now, lease.next_offset());
 }
 
 /// Appends a claim that is answered 10 ms after it was sent.
-fn claim(lease: &mut DutyLease, sent_at: u64, successors: &[u64]) -> DutyRecord {
-    let record = lease.claim(names(successors));
+fn claim(lease: &mut LeaseState, sent_at: u64, successors: &[u64]) -> DutyRecord {
+    let record = lease.claim_record(names(successors));
     append(lease, sent_at, record.clone());
     record
 }
 
-fn append(lease: &mut DutyLease, sent_at: u64, record: DutyRecord) {
+fn append(lease: &mut LeaseState, sent_at: u64, record: DutyRecord) {
     lease.note_sent(&record);
     let offset = lease.next_offset();
     lease.note_appended(at(sent_at + 10), at(sent_at), FIRST, offset, record);
 }
 
-fn renew(lease: &mut DutyLease, sent_at: u64, successors: &[u64]) -> DutyRecord {
-    let tenure = lease.own_mark(at(sent_at), names(successors)).unwrap();
+fn renew(lease: &mut LeaseState, sent_at: u64, successors: &[u64]) -> DutyRecord {
+    let tenure = lease.own_tenure(at(sent_at), names(successors)).unwrap();
     let record = DutyRecord::Renewal { tenure };
     append(lease, sent_at, record.clone());
     record
 }
 
 /// Reads records that were appended from offset 0 on.
-fn read(lease: &mut DutyLease, now: u64, records: &[DutyRecord]) {
+fn read(lease: &mut LeaseState, now: u64, records: &[DutyRecord]) {
     lease.note_generation(at(now), FIRST);
     for (offset, record) in records.iter().enumerate() {
         lease.note_read(at(now), LogOffset(offset as u64), record.clone());
     }
-    lease.note_end(at(now), LogOffset(records.len() as u64));
+    lease.note_read_end(at(now), LogOffset(records.len() as u64));
 }
 
 /// Returns the first moment from `from` on, in steps of 10 ms, at which an entry
 /// may claim.
-fn first_claim(lease: &DutyLease, rank: usize, from: u64) -> Option<u64> {
+fn first_claim(lease: &LeaseState, rank: usize, from: u64) -> Option<u64> {
     let mut moments = (0..3_000).map(|step| from + step * 10);
     moments.find(|moment| lease.may_claim(at(*moment), rank))
 }
@@ -89,27 +89,30 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
     claim(&mut lease, 100, &[2]);
-    assert_eq!(lease.right(at(200)).unwrap().until, at(2_100));
+    assert_eq!(lease.valid_lease(at(200)).unwrap().expires_at, at(2_100));
     renew(&mut lease, 600, &[2]);
-    assert_eq!(lease.right(at(700)).unwrap().until, at(2_600));
-    assert_eq!(lease.right(at(2_600)), None);
+    assert_eq!(lease.valid_lease(at(700)).unwrap().expires_at, at(2_600));
+    assert_eq!(lease.valid_lease(at(2_600)), None);
     // Nobody claimed meanwhile, as the next renewal shows.
     renew(&mut lease, 5_000, &[2]);
-    assert_eq!(lease.right(at(6_999)).unwrap().fence, FenceToken(0));
+    assert_eq!(
+        lease.valid_lease(at(6_999)).unwrap().fencing_token,
+        FenceToken(0)
+    );
 }
 
 #[test]
 fn a_claim_that_is_read_gives_no_right_before_it_is_renewed() {
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
-    let record = lease.claim(Vec::new());
+    let record = lease.claim_record(Vec::new());
     lease.note_sent(&record);
-    lease.note_unanswered();
+    lease.note_claim_unanswered();
     read(&mut lease, 700, &[record]);
     assert!(lease.is_holder());
-    assert_eq!(lease.right(at(700)), None);
+    assert_eq!(lease.valid_lease(at(700)), None);
     renew(&mut lease, 800, &[]);
-    assert!(lease.right(at(900)).is_some());
+    assert!(lease.valid_lease(at(900)).is_some());
 }
 
 #[rstest]
@@ -127,7 +130,7 @@
     read_empty(&mut holder, at(0));
     let record = claim(&mut holder, 0, successors);
     let incarnation = Incarnation(99);
-    let mut lease = DutyLease::new(at(0), name(reader), incarnation, TERMS, false);
+    let mut lease = LeaseState::new(at(0), name(reader), incarnation, TERMS, false);
     read(&mut lease, 2_000, &[record]);
     assert_eq!(first_claim(&lease, rank, 2_000), expected);
 }
@@ -142,7 +145,7 @@
     let mut lease = entry(2);
     read(&mut lease, 100, std::slice::from_ref(&first));
     assert_eq!(first_claim(&lease, 0, 0), Some(2_200));
-    lease.note_heard(at(3_000), FenceToken(0), LogOffset(2));
+    lease.note_holder_gossip(at(3_000), FenceToken(0), LogOffset(2));
     assert_eq!(first_claim(&lease, 0, 0), Some(5_100));
     // What the holder told of delays nothing when it is read.
     read(&mut lease, 3_500, &[first.clone(), second.clone()]);
@@ -160,10 +163,10 @@
     let mut lease = entry(2);
     assert!(lease.should_read(at(0), 0));
     read(&mut lease, 100, &[record]);
-    lease.note_heard(at(1_000), FenceToken(0), LogOffset(1));
+    lease.note_holder_gossip(at(1_000), FenceToken(0), LogOffset(1));
     assert!(!lease.should_read(at(1_390), 0));
     assert!(lease.should_read(at(1_400), 0));
-    lease.note_heard(at(2_000), FenceToken(0), LogOffset(1));
+    lease.note_holder_gossip(at(2_000), FenceToken(0), LogOffset(1));
     lease.request_read();
     assert!(lease.should_read(at(2_010), 0));
 }
@@ -173,21 +176,24 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
     claim(&mut lease, 0, &[2, 3]);
-    let fence = lease.right(at(1)).unwrap().fence;
+    let fence = lease.valid_lease(at(1)).unwrap().fencing_token;
     lease.note_promise(at(1_600), &name(2), fence, at(1_500));
-    assert_eq!(lease.right(at(2_000)), None);
+    assert_eq!(lease.valid_lease(at(2_000)), None);
     lease.note_promise(at(1_700), &name(3), fence, at(1_400));
-    assert_eq!(lease.right(at(3_000)).unwrap().until, at(3_400));
+    assert_eq!(lease.valid_lease(at(3_000)).unwrap().expires_at, at(3_400));
     // An answer to an earlier message takes nothing back.
     lease.note_promise(at(1_800), &name(3), fence, at(1_000));
-    assert!(lease.right(at(3_399)).is_some());
+    assert!(lease.valid_lease(at(3_399)).is_some());
     for moment in (2_000..13_000).step_by(500) {
         for from in [2, 3] {
             lease.note_promise(at(moment), &name(from), fence, at(moment - 100));
         }
     }
-    assert_eq!(lease.right(at(11_999)).unwrap().until, at(12_000));
-    assert_eq!(lease.right(at(12_000)), None);
+    assert_eq!(
+        lease.valid_lease(at(11_999)).unwrap().expires_at,
+        at(12_000)
+    );
+    assert_eq!(lease.valid_lease(at(12_000)), None);
 }
 
 #[test]
@@ -195,7 +201,7 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
     claim(&mut lease, 0, &[2]);
-    let fence = lease.right(at(1)).unwrap().fence;
+    let fence = lease.valid_lease(at(1)).unwrap().fencing_token;
     assert!(!lease.should_renew(at(440)));
     assert!(lease.should_renew(at(460)));
     for moment in (250..2_600).step_by(250) {
@@ -215,9 +221,9 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
     claim(&mut lease, 0, &[2]);
-    let fence = lease.right(at(1)).unwrap().fence;
+    let fence = lease.valid_lease(at(1)).unwrap().fencing_token;
     lease.note_promise(at(2_000), &name(2), fence, at(1_900));
-    assert_eq!(lease.right(at(2_000)), None);
+    assert_eq!(lease.valid_lease(at(2_000)), None);
 }
 
 /// A record that names successors later shortens the right, not the call.
@@ -226,9 +232,9 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
     claim(&mut lease, 0, &[]);
-    assert_eq!(lease.right(at(3_000)).unwrap().until, at(5_000));
+    assert_eq!(lease.valid_lease(at(3_000)).unwrap().expires_at, at(5_000));
     renew(&mut lease, 3_500, &[2]);
-    assert_eq!(lease.right(at(3_600)).unwrap().until, at(5_500));
+    assert_eq!(lease.valid_lease(at(3_600)).unwrap().expires_at, at(5_500));
 }
 
 /// Another entry's claim may be among what is not to be had.
@@ -238,8 +244,8 @@
     read_empty(&mut lease, at(0));
     claim(&mut lease, 0, &[2]);
     lease.skip_to(at(500), LogOffset(9));
-    lease.note_end(at(500), LogOffset(9));
-    assert_eq!(lease.right(at(500)), None);
+    lease.note_read_end(at(500), LogOffset(9));
+    assert_eq!(lease.valid_lease(at(500)), None);
     assert_eq!(first_claim(&lease, 0, 0), Some(13_100));
 }
 
@@ -248,16 +254,16 @@
 fn news_of_another_generation_tell_of_no_record_of_this_one() {
     let mut lease = entry(2);
     lease.note_generation(at(0), SECOND);
-    lease.note_end(at(0), LogOffset(0));
-    lease.note_heard(
+    lease.note_read_end(at(0), LogOffset(0));
+    lease.note_holder_gossip(
         at(100),
         FenceToken::of_claim(FIRST, LogOffset(50)),
         LogOffset(99),
     );
     let mut holder = entry(1);
     holder.note_generation(at(0), SECOND);
-    lease.note_read(at(2_000), LogOffset(0), holder.claim(names(&[2])));
-    lease.note_end(at(2_000), LogOffset(1));
+    lease.note_read(at(2_000), LogOffset(0), holder.claim_record(names(&[2])));
+    lease.note_read_end(at(2_000), LogOffset(1));
     assert_eq!(first_claim(&lease, 0, 0), Some(4_100));
 }
 
@@ -267,9 +273,9 @@
     read_empty(&mut lease, at(0));
     claim(&mut lease, 0, &[2]);
     lease.note_promise(at(1_950), &name(2), FenceToken(77), at(1_900));
-    let fence = lease.right(at(1)).unwrap().fence;
+    let fence = lease.valid_lease(at(1)).unwrap().fencing_token;
     lease.note_promise(at(1_950), &name(3), fence, at(1_900));
-    assert_eq!(lease.right(at(1_999)).unwrap().until, at(2_000));
+    assert_eq!(lease.valid_lease(at(1_999)).unwrap().expires_at, at(2_000));
 }
 
 /// A renewal without an answer may be the newest record, or not.
@@ -278,35 +284,35 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
     claim(&mut lease, 0, &[2]);
-    let fence = lease.right(at(1)).unwrap().fence;
-    let tenure = lease.own_mark(at(100), names(&[3])).unwrap();
+    let fence = lease.valid_lease(at(1)).unwrap().fencing_token;
+    let tenure = lease.own_tenure(at(100), names(&[3])).unwrap();
     lease.note_sent(&DutyRecord::Renewal { tenure });
-    lease.note_unanswered();
+    lease.note_claim_unanswered();
     lease.note_promise(at(1_500), &name(2), fence, at(1_400));
-    assert_eq!(lease.right(at(2_100)), None);
+    assert_eq!(lease.valid_lease(at(2_100)), None);
     lease.note_promise(at(1_500), &name(3), fence, at(1_400));
-    assert!(lease.right(at(2_100)).is_some());
+    assert!(lease.valid_lease(at(2_100)).is_some());
 }
 
 #[test]
 fn an_entry_promises_nothing_while_its_claim_may_be_appended() {
     let mut lease = entry(2);
     read_empty(&mut lease, at(0));
-    assert!(lease.promises());
-    let record = lease.claim(Vec::new());
+    assert!(lease.may_promise());
+    let record = lease.claim_record(Vec::new());
     lease.note_sent(&record);
-    assert!(!lease.promises());
-    lease.note_unanswered();
+    assert!(!lease.may_promise());
+    lease.note_claim_unanswered();
     // A later claim is refused; the first one may still come.
     lease.note_sent(&record);
-    lease.note_not_claimed();
-    assert!(!lease.promises());
+    lease.note_claim_rejected();
+    assert!(!lease.may_promise());
     // Another record stands where the claim would have been.
     let mut other = entry(1);
     read_empty(&mut other, at(0));
     let theirs = claim(&mut other, 0, &[2]);
     read(&mut lease, 500, &[theirs]);
-    assert!(lease.promises());
+    assert!(lease.may_promise());
 }
 
 #[test]
@@ -314,7 +320,7 @@
     let mut holder = entry(1);
     read_empty(&mut holder, at(0));
     let first = claim(&mut holder, 0, &[2]);
-    let tenure = holder.own_mark(at(500), names(&[2])).unwrap();
+    let tenure = holder.own_tenure(at(500), names(&[2])).unwrap();
     holder.give_up(at(500));
     assert_eq!(holder.take_ended(), Some(TenureEnd::GivenUp));
     let released = DutyRecord::Release { tenure };
@@ -341,14 +347,14 @@
     let theirs = claim(&mut second, 2_300, &[1]);
     read(&mut first, 2_500, &[own.clone(), theirs.clone()]);
     assert_eq!(first.take_ended(), Some(TenureEnd::Replaced));
-    assert_eq!(first.right(at(2_500)), None);
+    assert_eq!(first.valid_lease(at(2_500)), None);
     assert_eq!(first_claim(&first, 0, 0), Some(6_500));
-    let mut again = DutyLease::new(at(0), name(1), Incarnation(11), TERMS, false);
+    let mut again = LeaseState::new(at(0), name(1), Incarnation(11), TERMS, false);
     read(&mut again, 100, &[own.clone(), theirs.clone()]);
     assert_eq!(first_claim(&again, 0, 0), Some(4_100));
     // A holder that has held for longer leaves less of the rest.
     let renewed = renew(&mut second, 5_310, &[1]);
-    let mut late = DutyLease::new(at(0), name(1), Incarnation(12), TERMS, false);
+    let mut late = LeaseState::new(at(0), name(1), Incarnation(12), TERMS, false);
     read(&mut late, 100, &[own, theirs, renewed]);
     assert_eq!(first_claim(&late, 0, 0), Some(2_200));
 }
@@ -358,7 +364,7 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(100));
     assert_eq!(first_claim(&lease, 0, 0), Some(12_700));
-    let mut lease = DutyLease::new(at(0), name(1), Incarnation(1), TERMS, true);
+    let mut lease = LeaseState::new(at(0), name(1), Incarnation(1), TERMS, true);
     read_empty(&mut lease, at(100));
     assert_eq!(first_claim(&lease, 0, 0), Some(2_200));
 }
@@ -374,7 +380,7 @@
 fn a_claim_that_meets_another_generation_counts_for_nothing() {
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
-    let record = lease.claim(Vec::new());
+    let record = lease.claim_record(Vec::new());
     lease.note_sent(&record);
     let offset = lease.next_offset();
     lease.note_appended(at(20), at(10), SECOND, offset, record.clone());
@@ -382,7 +388,7 @@
     // What was read has to be read again, and is a sign of some holder.
     assert!(lease.should_read(at(30), 0));
     lease.note_read(at(40), offset, record);
-    lease.note_end(at(40), LogOffset(1));
+    lease.note_read_end(at(40), LogOffset(1));
     assert!(!lease.is_holder());
     assert_eq!(first_claim(&lease, 0, 0), Some(12_640));
 }
@@ -395,7 +401,7 @@
     let mut lease = entry(2);
     lease.note_generation(at(100), SECOND);
     lease.note_read(at(100), LogOffset(0), record);
-    lease.note_end(at(100), LogOffset(1));
+    lease.note_read_end(at(100), LogOffset(1));
     assert_eq!(first_claim(&lease, 0, 0), Some(12_700));
 }
 
@@ -405,21 +411,21 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
     let record = claim(&mut lease, 1_000, &[2]);
-    let before = lease.right(at(1_100)).unwrap().fence;
+    let before = lease.valid_lease(at(1_100)).unwrap().fencing_token;
     lease.note_generation(at(1_500), SECOND);
-    assert!(lease.has_to_reclaim());
-    assert_eq!(lease.own_mark(at(1_500), Vec::new()), None);
+    assert!(lease.must_reclaim());
+    assert_eq!(lease.own_tenure(at(1_500), Vec::new()), None);
     assert!(!lease.may_reclaim(at(1_500)));
     lease.note_read(at(1_600), LogOffset(0), record);
-    lease.note_end(at(1_600), LogOffset(1));
+    lease.note_read_end(at(1_600), LogOffset(1));
     assert!(lease.may_reclaim(at(1_600)));
     assert!(!lease.may_reclaim(at(3_000)));
-    let again = lease.claim(names(&[2]));
+    let again = lease.claim_record(names(&[2]));
     lease.note_sent(&again);
     lease.note_appended(at(1_710), at(1_700), SECOND, LogOffset(1), again);
-    let right = lease.right(at(1_710)).unwrap();
-    assert!(right.fence > before);
-    assert_eq!(right.until, at(3_700));
+    let right = lease.valid_lease(at(1_710)).unwrap();
+    assert!(right.fencing_token > before);
+    assert_eq!(right.expires_at, at(3_700));
 }
 
 /// What was reported already has to be reported the same by the next holder.
@@ -428,10 +434,10 @@
     let mut lease = entry(1);
     read_empty(&mut lease, at(0));
     claim(&mut lease, 0, &[]);
-    let usage = |lease: &DutyLease| DutyRecord::Usage {
+    let usage = |lease: &LeaseState| DutyRecord::Usage {
         window: 7,
         counts: [("depots".parse().unwrap(), 5)].into(),
-        tenure: lease.own_mark(at(100), Vec::new()),
+        tenure: lease.own_tenure(at(100), Vec::new()),
     };
     let record = usage(&lease);
     append(&mut lease, 100, record.clone());
--- a/lib/tests/test_logs.rs
+++ b/lib/tests/test_logs.rs
@@ -35,7 +35,7 @@
             .into_iter()
             .enumerate()
         {
-            written[index] += u32::from(budget.takes(now, &request, class));
+            written[index] += u32::from(budget.admit(now, &request, class));
         }
         dropped += budget.take_dropped();
     }
@@ -50,7 +50,7 @@
 fn a_request_is_kept_or_dropped_whole() {
     let mut budget = LogBudget::new();
     for step in 0..1_000_u64 {
-        budget.takes(
+        budget.admit(
             Timestamp::from_millis(step),
             &format!("early-{step}"),
             LineClass::Step,
@@ -61,7 +61,7 @@
         let request = format!("call-{number}");
         let lines = (0..3).filter(|line| {
             let now = Timestamp::from_millis(1_000 + number * 4 + line);
-            budget.takes(now, &request, LineClass::Step)
+            budget.admit(now, &request, LineClass::Step)
         });
         partly += u32::from(!matches!(lines.count(), 0 | 3));
     }
@@ -73,7 +73,7 @@
     let mut budget = LogBudget::new();
     let kept = (0..2_000_u64).filter(|step| {
         let now = Timestamp::from_millis(step * 10);
-        budget.takes(now, &format!("call-{step}"), LineClass::Step)
+        budget.admit(now, &format!("call-{step}"), LineClass::Step)
     });
     assert_eq!(kept.count(), 2_000);
 }
--- a/lib/tests/test_permit_issuer.rs
+++ b/lib/tests/test_permit_issuer.rs
@@ -10,20 +10,20 @@
 use cloverbend::gateway::backend_record::BackendId;
 use cloverbend::gateway::backend_record::BackendRecord;
 use cloverbend::gateway::backend_set::BackendSet;
-use cloverbend::gateway::news_frame::NewsFrame;
-use cloverbend::gateway::peer_book::PeerBook;
-use cloverbend::gateway::peer_book::PermitShare;
-use cloverbend::gateway::peer_news::GatewayNews;
-use cloverbend::gateway::peer_news::HubDigest;
-use cloverbend::gateway::peer_news::HubView;
-use cloverbend::gateway::peer_news::ServiceWork;
+use cloverbend::gateway::gossip_frame::GatewayGossipFrame;
+use cloverbend::gateway::hub_capacity::HubCapacity;
+use cloverbend::gateway::peer_gossip::GatewayGossip;
+use cloverbend::gateway::peer_gossip::HubSummary;
+use cloverbend::gateway::peer_gossip::HubView;
+use cloverbend::gateway::peer_gossip::ServiceDemand;
+use cloverbend::gateway::peer_table::PeerTable;
+use cloverbend::gateway::peer_table::PermitShare;
 use cloverbend::gateway::permit_issuer::PERMIT_LIFETIME;
 use cloverbend::gateway::permit_issuer::PermitClient;
 use cloverbend::gateway::send_permits::PermitGrant;
 use cloverbend::gateway::server_limits::ServerLimits;
-use cloverbend::gateway::server_notice::LimitNotice;
-use cloverbend::gateway::server_notice::ServerNotice;
-use cloverbend::gateway::vm_strength::VmStrength;
+use cloverbend::gateway::server_report::LimitReport;
+use cloverbend::gateway::server_report::ServerReport;
 use cloverbend::id::EntryName;
 use cloverbend::id::Incarnation;
 use cloverbend::id::ServiceName;
@@ -64,12 +64,12 @@
 
 fn server(number: usize) -> BackendRecord {
     BackendRecord {
-        id: BackendId::untimed(format!("i-{number}")),
+        id: BackendId::without_start(format!("i-{number}")),
         service: pool(),
         address: address(number),
         zone: "zone-a".parse().unwrap(),
         slots: 12,
-        leaving: false,
+        draining: false,
         reclaimable: true,
     }
 }
@@ -95,13 +95,13 @@
 
 struct ModelEntry {
     state: EntryState,
-    book: PeerBook,
+    book: PeerTable,
     limits: ServerLimits,
-    last_news: GatewayNews,
+    last_news: GatewayGossip,
 }
 
-fn strength(number: usize) -> VmStrength {
-    VmStrength(if number < 4 { 500 } else { 120 })
+fn strength(number: usize) -> HubCapacity {
+    HubCapacity(if number < 4 { 500 } else { 120 })
 }
 
 fn client(name: &EntryName, demand: f64) -> PermitClient {
@@ -114,13 +114,13 @@
 /// Returns the limits at an entry that knows what all servers take.
 fn limits_of(now: Timestamp, number: usize, backends: &BackendSet, limit: f64) -> ServerLimits {
     let mut limits = ServerLimits::new(name(number));
-    let notice = ServerNotice {
-        limit: LimitNotice::Limited(RequestRate(limit)),
-        ..ServerNotice::default()
+    let notice = ServerReport {
+        limit: LimitReport::Limited(RequestRate(limit)),
+        ..ServerReport::default()
     };
     for server in backends.iter() {
         let id = &server.record.id;
-        limits.book.note_answer(now, id, &notice);
+        limits.reports.apply_direct(now, id, &notice);
     }
     limits
 }
@@ -128,7 +128,7 @@
 struct Message {
     arrives: Timestamp,
     receiver: usize,
-    news: GatewayNews,
+    news: GatewayGossip,
     permits: Vec<PermitGrant>,
 }
 
@@ -166,7 +166,7 @@
             backends.put(server(number));
         }
         let entry = |number: usize| {
-            let mut book = PeerBook::new(name(number), strength(number));
+            let mut book = PeerTable::new(name(number), strength(number));
             for other in 0..entries {
                 book.note_listed(Timestamp(0), name(other), address(other), strength(other));
             }
@@ -174,7 +174,7 @@
             let limits = limits_of(Timestamp(1), number, &backends, limit);
             let incarnation = Incarnation(number as u64 + 1);
             let last_news =
-                GatewayNews::of_entry(incarnation, name(number), address(number), strength(number));
+                GatewayGossip::new(incarnation, name(number), address(number), strength(number));
             ModelEntry {
                 state: EntryState::Runs,
                 book,
@@ -230,7 +230,7 @@
     fn send_news(&mut self, number: usize, round: u32) {
         let now = self.now;
         let demand = self.demand();
-        let work = vec![ServiceWork {
+        let work = vec![ServiceDemand {
             service: pool().to_string(),
             tokens_per_s: 0,
             busy_milli: 0,
@@ -240,19 +240,19 @@
         let own = name(number);
         let share = entry.book.permit_share(now);
         if let PermitShare::Own { .. } = share {
-            let sends = entry.limits.sends(now);
+            let sends = entry.limits.recent_sends(now);
             let incarnation = entry.last_news.incarnation;
             entry.limits.note_sends(&own, incarnation, &sends);
         }
         let mut granted = match share {
             PermitShare::Nobody => BTreeMap::new(),
-            PermitShare::Own { part } => {
+            PermitShare::Own { fraction: part } => {
                 let clients = [client(&own, demand)];
                 entry.limits.issue(now, &self.backends, part, &clients)
             }
-            PermitShare::Answered { part } => {
-                let answered = entry.book.answered_each_round(now);
-                let demand = |work: &[ServiceWork]| work[0].requests_milli as f64 / 1_000.0;
+            PermitShare::Subscribers { fraction: part } => {
+                let answered = entry.book.subscribers(now);
+                let demand = |work: &[ServiceDemand]| work[0].requests_milli as f64 / 1_000.0;
                 let clients = answered.map(|(name, work)| client(name, demand(work)));
                 let clients: Vec<PermitClient> = clients.collect();
                 entry.limits.issue(now, &self.backends, part, &clients)
@@ -262,23 +262,23 @@
         entry
             .limits
             .take_permits(&own_grants, now.after(PERMIT_LIFETIME));
-        let direct = entry.book.direct_view(now);
-        let due = entry.book.due(now, round);
-        let asked = due.iter().filter(|message| message.wants_digest).count();
+        let direct = entry.book.direct_entry_counts(now);
+        let due = entry.book.take_due_messages(now, round);
+        let asked = due.iter().filter(|message| message.wants_summary).count();
         assert!(asked <= 1, "entry {number} asks {asked} hubs for permits");
         for message in due {
             let mut news = entry.last_news.clone();
             news.sent_at = now.0;
-            news.tells = message.tells;
-            news.wants_digest = message.wants_digest;
-            news.work.clone_from(&work);
-            if message.wants_digest {
-                news.sends = entry.limits.sends(now);
+            news.reports_state = message.reports_state;
+            news.wants_summary = message.wants_summary;
+            news.service_demand.clone_from(&work);
+            if message.wants_summary {
+                news.sends = entry.limits.recent_sends(now);
             }
             news.echo = entry.book.echo(&message.name, None, None);
-            news.view = message.digest.then(|| HubView {
+            news.view = message.has_summary.then(|| HubView {
                 entries: direct.entries,
-                heard: direct.heard,
+                reachable: direct.reachable,
                 ..HubView::default()
             });
             let permits = granted.remove(&message.name).unwrap_or_default();
@@ -311,8 +311,8 @@
             EntryState::Runs => {}
         }
         let news = message.news;
-        entry.book.note_news(self.now, &news);
-        if news.tells && news.wants_digest {
+        entry.book.apply_gossip(self.now, &news);
+        if news.reports_state && news.wants_summary {
             let limits = &mut entry.limits;
             limits.note_sends(&news.name, news.incarnation, &news.sends);
         }
@@ -336,7 +336,7 @@
             let first = self.random.random_range(0..servers);
             let limits = &mut self.entries[number].limits;
             let order = (0..servers).map(|offset| (first + offset) % servers);
-            let open = |server: &usize| limits.lets_in(self.now, &server_id(*server));
+            let open = |server: &usize| limits.may_send(self.now, &server_id(*server));
             match order.into_iter().find(open) {
                 Some(server) => {
                     limits.note_sent(self.now, &server_id(server));
@@ -380,7 +380,7 @@
     fn first_hubs(&self) -> Vec<usize> {
         let mut ranks: BTreeMap<usize, usize> = BTreeMap::new();
         for (number, entry) in self.entries.iter().enumerate() {
-            ranks.insert(entry.book.rank(self.now), number);
+            ranks.insert(entry.book.hub_rank(self.now), number);
         }
         ranks.into_values().take(3).collect()
     }
@@ -405,10 +405,9 @@
         let entry = &mut self.entries[number];
         let incarnation = Incarnation(entry.last_news.incarnation.0 + entries);
         let strength = strength(number);
-        entry.book = PeerBook::new(name(number), strength);
+        entry.book = PeerTable::new(name(number), strength);
         entry.limits = limits_of(self.now, number, &self.backends, self.limit);
-        entry.last_news =
-            GatewayNews::of_entry(incarnation, name(number), address(number), strength);
+        entry.last_news = GatewayGossip::new(incarnation, name(number), address(number), strength);
     }
 
     /// Lets an entry read which others there are.
@@ -429,33 +428,33 @@
 }
 
 /// Returns the bytes that counts and permits add to a message.
-fn added_bytes(news: &GatewayNews, permits: &[PermitGrant]) -> usize {
-    let bare = GatewayNews {
+fn added_bytes(news: &GatewayGossip, permits: &[PermitGrant]) -> usize {
+    let bare = GatewayGossip {
         sends: Vec::new(),
         ..news.clone()
     };
-    let digest = |permits: Vec<PermitGrant>| HubDigest {
+    let digest = |permits: Vec<PermitGrant>| HubSummary {
         admitted: Vec::new(),
         hubs: Vec::new(),
         backends: None,
         changes: None,
-        leaving: Vec::new(),
-        notices: Vec::new(),
+        draining: Vec::new(),
+        reports: Vec::new(),
         permits,
     };
-    let full = GatewayNews {
-        digest: Some(digest(permits.to_vec())),
+    let full = GatewayGossip {
+        summary: Some(digest(permits.to_vec())),
         ..news.clone()
     };
-    let bare = GatewayNews {
-        digest: Some(digest(Vec::new())),
+    let bare = GatewayGossip {
+        summary: Some(digest(Vec::new())),
         ..bare
     };
-    NewsFrame::from(full).encoded_len() - NewsFrame::from(bare).encoded_len()
+    GatewayGossipFrame::from(full).encoded_len() - GatewayGossipFrame::from(bare).encoded_len()
 }
 
 fn server_id(number: usize) -> BackendId {
-    BackendId::untimed(format!("i-{number}"))
+    BackendId::without_start(format!("i-{number}"))
 }
 
 fn allowed(limit: f64) -> usize {
--- a/lib/tests/test_gateway_reading.rs
+++ b/lib/tests/test_prefill_speed.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cloverbend::gateway::reading_speed::ReadingSpeed;
+use cloverbend::gateway::prefill_speed::ReadingSpeed;
 use proptest::prelude::*;
 use rand::Rng;
 use rand::SeedableRng;
--- a/lib/tests/test_store_rhythm.rs
+++ b/lib/tests/test_read_schedule.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use cloverbend::gateway::peer_book::HUB_COUNT;
-use cloverbend::gateway::store_rhythm::ReaderState;
-use cloverbend::gateway::store_rhythm::StoreRhythm;
+use cloverbend::gateway::peer_table::HUB_COUNT;
+use cloverbend::gateway::read_schedule::ReadSchedule;
+use cloverbend::gateway::read_schedule::ReaderState;
 use rstest::rstest;
 
 const BOUND: Duration = Duration::from_millis(2_000);
@@ -12,11 +12,11 @@
 fn state(rank: usize, age_ms: Option<u64>) -> ReaderState {
     ReaderState {
         rank,
-        readers: usize::MAX,
+        max_readers: usize::MAX,
         holds_lease: false,
-        age: age_ms.map(Duration::from_millis),
+        view_age: age_ms.map(Duration::from_millis),
         first_start: false,
-        knows_others: true,
+        has_entry_list: true,
         uptime: Duration::from_secs(20),
     }
 }
@@ -32,8 +32,8 @@
 #[case::others(3, 1_500, true)]
 #[case::the_last_of_hundreds(290, 1_500, true)]
 fn entries_read_one_after_the_other(#[case] rank: usize, #[case] age: u64, #[case] reads: bool) {
-    let rhythm = StoreRhythm::of_bound(BOUND);
-    assert_eq!(state(rank, Some(age)).reads(rhythm), reads);
+    let rhythm = ReadSchedule::with_bound(BOUND);
+    assert_eq!(state(rank, Some(age)).should_read_store(rhythm), reads);
 }
 
 /// Where a read takes long, those after the first ones wait their turn.
@@ -45,12 +45,12 @@
 #[case::the_last_of_hundreds_waits(301, 20_000, false)]
 #[case::the_last_of_hundreds(301, 27_000, true)]
 fn entries_take_turns_at_a_long_list(#[case] rank: usize, #[case] age: u64, #[case] reads: bool) {
-    let rhythm = StoreRhythm::of_bound(BOUND);
+    let rhythm = ReadSchedule::with_bound(BOUND);
     let taking_turns = ReaderState {
-        readers: rhythm.readers(80.0, 3_000),
+        max_readers: rhythm.max_readers(80.0, 3_000),
         ..state(rank, Some(age))
     };
-    assert_eq!(taking_turns.reads(rhythm), reads);
+    assert_eq!(taking_turns.should_read_store(rhythm), reads);
 }
 
 /// Deployments of up to a hundred entries read all at once, as long as a read
@@ -67,31 +67,31 @@
     #[case] servers: usize,
     #[case] readers: usize,
 ) {
-    let rhythm = StoreRhythm::of_bound(BOUND);
-    assert_eq!(rhythm.readers(read_mb_s, servers), readers);
+    let rhythm = ReadSchedule::with_bound(BOUND);
+    assert_eq!(rhythm.max_readers(read_mb_s, servers), readers);
 }
 
 /// The holder gives the lease up when the store is silent for two seconds, so it
 /// must not wait for its turn among the hubs.
 #[test]
 fn the_holder_of_the_lease_always_reads() {
-    let rhythm = StoreRhythm::of_bound(BOUND * 2);
+    let rhythm = ReadSchedule::with_bound(BOUND * 2);
     let holder = ReaderState {
         holds_lease: true,
         ..state(2, Some(100))
     };
-    assert!(holder.reads(rhythm));
+    assert!(holder.should_read_store(rhythm));
 }
 
 #[test]
 fn an_entry_that_starts_again_reads_at_once() {
-    let rhythm = StoreRhythm::of_bound(BOUND);
+    let rhythm = ReadSchedule::with_bound(BOUND);
     let restarted = ReaderState {
         uptime: Duration::ZERO,
-        knows_others: false,
+        has_entry_list: false,
         ..state(0, None)
     };
-    assert!(restarted.reads(rhythm));
+    assert!(restarted.should_read_store(rhythm));
 }
 
 /// At the first start of all, entries hear from hubs; whoever hears nothing
@@ -104,27 +104,29 @@
 #[case::the_list_cannot_be_read(0, false, 3_000, true)]
 fn entries_that_start_together_wait_for_a_hub(
     #[case] rank: usize,
-    #[case] knows_others: bool,
+    #[case] has_entry_list: bool,
     #[case] uptime_ms: u64,
     #[case] reads: bool,
 ) {
-    let rhythm = StoreRhythm::of_bound(BOUND);
+    let rhythm = ReadSchedule::with_bound(BOUND);
     let starting = ReaderState {
         first_start: true,
-        knows_others,
+        has_entry_list,
         uptime: Duration::from_millis(uptime_ms),
         ..state(rank, None)
     };
-    assert_eq!(starting.reads(rhythm), reads);
+    assert_eq!(starting.should_read_store(rhythm), reads);
 }
 
 /// What is left of a bound once the last entries read for themselves: as much
 /// as a read that waits, so that one that is lost can be repeated.
 #[test]
 fn a_quarter_of_the_bound_is_left_for_own_reads() {
-    let rhythm = StoreRhythm::of_bound(BOUND);
+    let rhythm = ReadSchedule::with_bound(BOUND);
     let left = BOUND - rhythm.own_read_age(HUB_COUNT, usize::MAX);
     assert!(left >= BOUND / 4);
     assert!(left >= rhythm.wait());
-    assert!(rhythm.pause() + Duration::from_millis(500) <= rhythm.own_read_age(1, usize::MAX));
+    assert!(
+        rhythm.poll_interval() + Duration::from_millis(500) <= rhythm.own_read_age(1, usize::MAX)
+    );
 }
--- a/lib/tests/test_shedding.rs
+++ b/lib/tests/test_shedding.rs
@@ -4,8 +4,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use cloverbend::gateway::call_shedding::CrowdQuery;
-use cloverbend::gateway::call_shedding::shed;
+use cloverbend::gateway::load_shedding::SheddingQuery;
+use cloverbend::gateway::load_shedding::shed_request;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -61,15 +61,15 @@
             owed -= 1.0;
             let kind = pick_kind(&mut rng);
             let target = Duration::from_millis(KINDS[kind].target_ms);
-            let query = CrowdQuery {
-                expected: Duration::from_millis(told + 60),
+            let query = SheddingQuery {
+                expected_latency: Duration::from_millis(told + 60),
                 slot_wait: Duration::from_millis(told),
-                target,
+                target_latency: target,
                 shortest_target: Duration::from_millis(KINDS[0].target_ms),
                 urgency: KINDS[kind].urgency,
                 draw: rng.random(),
             };
-            if sheds && shed(&query).is_some() {
+            if sheds && shed_request(&query).is_some() {
                 counts[kind][2] += 1;
                 continue;
             }
@@ -112,13 +112,13 @@
 
 #[test]
 fn a_request_for_which_a_slot_is_free_is_never_turned_away() {
-    let query = CrowdQuery {
-        expected: Duration::from_secs(5),
+    let query = SheddingQuery {
+        expected_latency: Duration::from_secs(5),
         slot_wait: Duration::ZERO,
-        target: Duration::from_millis(600),
+        target_latency: Duration::from_millis(600),
         shortest_target: Duration::from_millis(600),
         urgency: 9,
         draw: 0.0,
     };
-    assert_eq!(shed(&query), None);
+    assert_eq!(shed_request(&query), None);
 }
--- a/lib/tests/test_gateway_pauses.rs
+++ b/lib/tests/test_stall_detector.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use cloverbend::gateway::pause_watch::PauseWatch;
 use cloverbend::gateway::site_config::RepeatRule;
 use cloverbend::gateway::site_config::RouteRule;
+use cloverbend::gateway::stall_detector::StallDetector;
 use tokio::time::Instant;
 
 fn route(resumable: bool) -> RouteRule {
@@ -26,8 +26,8 @@
 }
 
 /// Returns the milliseconds after `start` at which the stream is silent.
-fn silent_after(watch: PauseWatch, start: Instant) -> Option<u128> {
-    let at = watch.silent_at()?;
+fn silent_after(watch: StallDetector, start: Instant) -> Option<u128> {
+    let at = watch.stalled_at()?;
     Some(at.duration_since(start).as_millis())
 }
 
@@ -35,7 +35,7 @@
 fn a_stream_is_silent_after_twice_its_longest_usual_pause() {
     let start = Instant::now();
     let after = |millis| start + Duration::from_millis(millis);
-    let mut watch = PauseWatch::new(start, &route(true));
+    let mut watch = StallDetector::new(start, &route(true));
     // The first event may take twice the target latency.
     assert_eq!(silent_after(watch, start), Some(1_200));
     watch.note_bytes(after(100));
@@ -45,10 +45,10 @@
     watch.note_bytes(after(520));
     assert_eq!(silent_after(watch, start), Some(520 + 800));
     // Elsewhere it begins again.
-    watch.begin(after(2_000));
+    watch.note_resumed(after(2_000));
     assert_eq!(silent_after(watch, start), Some(2_000 + 1_200));
     // Where it cannot go on elsewhere, it is left until bytes come.
-    watch.stop();
+    watch.disarm();
     assert_eq!(silent_after(watch, start), None);
     watch.note_bytes(after(2_500));
     assert_eq!(silent_after(watch, start), Some(2_500 + 800));
@@ -56,6 +56,6 @@
 
 #[test]
 fn a_stream_that_may_not_resume_is_not_watched() {
-    let watch = PauseWatch::new(Instant::now(), &route(false));
-    assert_eq!(watch.silent_at(), None);
+    let watch = StallDetector::new(Instant::now(), &route(false));
+    assert_eq!(watch.stalled_at(), None);
 }
--- a/lib/tests/test_store_jam.rs
+++ b/lib/tests/test_store_jam.rs
@@ -8,8 +8,8 @@
 
 use std::time::Duration;
 
-use cloverbend::gateway::store_rhythm::ReaderState;
-use cloverbend::gateway::store_rhythm::StoreRhythm;
+use cloverbend::gateway::read_schedule::ReadSchedule;
+use cloverbend::gateway::read_schedule::ReaderState;
 use cloverbend::quantity::Timestamp;
 use rstest::rstest;
 
@@ -97,7 +97,7 @@
 
     fn step(&mut self) {
         self.now = self.now.after(STEP);
-        let rhythm = StoreRhythm::of_bound(BOUND);
+        let rhythm = ReadSchedule::with_bound(BOUND);
         for rank in 0..self.entries.len() {
             let mut entry = self.entries[rank];
             match entry.reading {
@@ -108,7 +108,7 @@
                 } => {
                     let in_time = answered_at.since(asked_at) < PATIENCE;
                     let pause = if in_time {
-                        rhythm.pause()
+                        rhythm.poll_interval()
                     } else {
                         FAILURE_PAUSE
                     };
@@ -126,17 +126,17 @@
         self.hear();
     }
 
-    fn ask(&mut self, rank: usize, entry: &mut ModelEntry, rhythm: StoreRhythm) {
+    fn ask(&mut self, rank: usize, entry: &mut ModelEntry, rhythm: ReadSchedule) {
         let state = ReaderState {
             rank,
-            readers: rhythm.readers(STORE_BYTES_PER_S / 1e6, self.servers),
+            max_readers: rhythm.max_readers(STORE_BYTES_PER_S / 1e6, self.servers),
             holds_lease: false,
-            age: Some(self.now.since(entry.known_at)),
+            view_age: Some(self.now.since(entry.known_at)),
             first_start: false,
-            knows_others: true,
+            has_entry_list: true,
             uptime: self.now.since(Timestamp(0)),
         };
-        if !state.reads(rhythm) {
+        if !state.should_read_store(rhythm) {
             return;
         }
         let bytes = self.next_bytes(entry);
--- a/lib/tests/test_sudden_loss.rs
+++ b/lib/tests/test_sudden_loss.rs
@@ -8,10 +8,10 @@
 use cloverbend::gateway::backend_record::BackendId;
 use cloverbend::gateway::backend_record::BackendRecord;
 use cloverbend::gateway::backend_set::BackendSet;
-use cloverbend::gateway::replica_plan::ReplicaDemand;
-use cloverbend::gateway::replica_plan::ReplicaPlanner;
-use cloverbend::gateway::replica_plan::ReplicaSupply;
-use cloverbend::gateway::replica_plan::ZoneSupply;
+use cloverbend::gateway::replica_planner::ReplicaDemand;
+use cloverbend::gateway::replica_planner::ReplicaPlanner;
+use cloverbend::gateway::replica_planner::ReplicaSupply;
+use cloverbend::gateway::replica_planner::ZoneSupply;
 use cloverbend::gateway::site_config::ScaleRule;
 use cloverbend::quantity::Timestamp;
 
@@ -192,20 +192,23 @@
 fn queues_do_not_lengthen_what_a_request_is_known_to_take() {
     let service = "pool".parse().unwrap();
     let mut set = BackendSet::new();
-    let id = BackendId::untimed("a");
+    let id = BackendId::without_start("a");
     set.put(BackendRecord {
         id: id.clone(),
         service: "pool".parse().unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "a".parse().unwrap(),
         slots: 4,
-        leaving: false,
+        draining: false,
         reclaimable: true,
     });
     let mut shown = Vec::new();
     for (held, had_room) in [(900, true), (900, true), (6_000, false), (6_000, false)] {
         set.note_left(&id, Duration::from_millis(held), had_room);
-        shown.push((set.times(&service).run, set.times(&service).hold));
+        shown.push((
+            set.times(&service).processing_time,
+            set.times(&service).hold,
+        ));
     }
     insta::assert_debug_snapshot!(shown);
 }
