--- a/testutils/src/lease_model.rs
+++ b/testutils/src/lease_model.rs
@@ -1,7 +1,7 @@
 //! A model world for the lease: entries with clocks of their own, a store with
 //! one topic, and a network between entries, with faults at any step.
 //!
-//! The world drives [`DutyLease`] as the daemon does. An entry that is frozen,
+//! The world drives [`LeaseState`] as the daemon does. An entry that is frozen,
 //! and a store or a link that is away, need no steps of their own: each step may
 //! come at any time or never. Calls under a right last as long as the right.
 
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cloverbend::gateway::duty_lease::DutyLease;
 use cloverbend::gateway::duty_record::DutyRecord;
-use cloverbend::gateway::duty_record::TenureMark;
-use cloverbend::gateway::lease_terms::LeaseTerms;
+use cloverbend::gateway::duty_record::TenureInfo;
+use cloverbend::gateway::lease_state::LeaseState;
+use cloverbend::gateway::lease_timings::LeaseTimings;
 use cloverbend::id::EntryName;
 use cloverbend::id::FenceToken;
 use cloverbend::id::Incarnation;
@@ -37,8 +37,8 @@
 const FAST_FACTOR: u32 = 2;
 /// The terms of the model. Clocks differ by up to as much as `drift_percent`
 /// allows, so that every wait is tight.
-const TERMS: LeaseTerms = LeaseTerms {
-    term: Duration::from_millis(2),
+const TERMS: LeaseTimings = LeaseTimings {
+    short_term: Duration::from_millis(2),
     long_term: Duration::from_millis(4),
     drift_percent: 100,
     rank_step: Duration::ZERO,
@@ -112,7 +112,7 @@
 /// A living entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ModelEntry {
-    lease: DutyLease,
+    lease: LeaseState,
     now: Timestamp,
     life: u64,
     open: Option<OpenAppend>,
@@ -121,7 +121,7 @@
     /// When any holder was last heard.
     heard_at: Timestamp,
     /// A tenure that was given up and whose release may be appended.
-    ended: Option<TenureMark>,
+    ended: Option<TenureInfo>,
 }
 
 /// The last call of an entry, at its latest arrival.
@@ -234,12 +234,12 @@
         self.setup.broken == broken
     }
 
-    fn terms(&self) -> LeaseTerms {
+    fn terms(&self) -> LeaseTimings {
         let drift_percent = match self.setup.broken {
             BrokenLease::NoDrift => 0,
             _ => TERMS.drift_percent,
         };
-        LeaseTerms {
+        LeaseTimings {
             drift_percent,
             ..TERMS
         }
@@ -306,7 +306,7 @@
             steps.push(LeaseStep::Read(index));
         }
         let may_reclaim = entry.lease.may_reclaim(entry.now);
-        let has_to_reclaim = entry.lease.has_to_reclaim();
+        let has_to_reclaim = entry.lease.must_reclaim();
         let may_claim = !is_holder && self.may_claim(entry);
         for speed in self.speeds(self.faults.slow_appends) {
             for choice in self.setup.successors.iter().copied() {
@@ -324,7 +324,7 @@
                 steps.push(LeaseStep::Release(index, speed));
             }
         }
-        let has_right = entry.lease.right(entry.now).is_some();
+        let has_right = entry.lease.valid_lease(entry.now).is_some();
         let is_lost = has_to_reclaim && !has_right;
         if is_holder && (self.faults.give_ups > 0 || is_lost) {
             steps.push(LeaseStep::GiveUp(index));
@@ -356,13 +356,13 @@
     }
 
     fn promises(&self, entry: &ModelEntry) -> bool {
-        self.breaks(BrokenLease::PromiseWhileClaiming) || entry.lease.promises()
+        self.breaks(BrokenLease::PromiseWhileClaiming) || entry.lease.may_promise()
     }
 
     fn may_claim(&self, entry: &ModelEntry) -> bool {
         let now = entry.now;
         let lease = &entry.lease;
-        let short = self.terms().term * (100 + self.terms().drift_percent) / 100;
+        let short = self.terms().short_term * (100 + self.terms().drift_percent) / 100;
         let is_short_over = |(_, last_sign_at)| now.since(last_sign_at) >= short;
         let may_early = match self.setup.broken {
             BrokenLease::NewsAlone => return now.since(entry.heard_at) >= short,
@@ -432,7 +432,7 @@
         self.lives += 1;
         let now = Timestamp(0);
         let own = Incarnation(life);
-        let lease = DutyLease::new(now, entry_name(index), own, self.terms(), first_start);
+        let lease = LeaseState::new(now, entry_name(index), own, self.terms(), first_start);
         self.entries[index] = Some(Arc::new(ModelEntry {
             lease,
             now,
--- a/testutils/src/lease_model/appends.rs
+++ b/testutils/src/lease_model/appends.rs
@@ -9,7 +9,7 @@
 use crate::lease_step::MessageSpeed;
 use crate::lease_step::SuccessorChoice;
 use cloverbend::gateway::duty_record::DutyRecord;
-use cloverbend::gateway::duty_record::TenureMark;
+use cloverbend::gateway::duty_record::TenureInfo;
 use cloverbend::id::EntryName;
 use cloverbend::id::FenceToken;
 use cloverbend::id::StoreGeneration;
@@ -43,7 +43,7 @@
         if entry.lease.is_holder() || !self.may_claim(entry) {
             return;
         }
-        let record = entry.lease.claim(successors);
+        let record = entry.lease.claim_record(successors);
         if let Some(entry) = self.entry_mut(index) {
             // The release has failed by now: one task makes both.
             entry.ended = None;
@@ -63,7 +63,7 @@
             return;
         };
         if entry.lease.may_reclaim(entry.now) {
-            let record = entry.lease.claim(successors);
+            let record = entry.lease.claim_record(successors);
             self.send(index, record, speed);
         }
     }
@@ -76,12 +76,12 @@
     ) {
         let successors = self.successors(index, choice);
         let entry = self.entries[index].as_ref();
-        let mark = entry.and_then(|entry| entry.lease.own_mark(entry.now, successors));
+        let mark = entry.and_then(|entry| entry.lease.own_tenure(entry.now, successors));
         self.faults.renewals -= 1;
         if let Some(mark) = mark {
             // Nobody rests for turns here: that only keeps entries from claiming.
             let held_ms = u64::MAX;
-            let tenure = TenureMark { held_ms, ..mark };
+            let tenure = TenureInfo { held_ms, ..mark };
             self.send(index, DutyRecord::Renewal { tenure }, speed);
         }
     }
@@ -90,7 +90,7 @@
         self.faults.give_ups = self.faults.give_ups.saturating_sub(1);
         let successors = self.successors(index, SuccessorChoice::All);
         if let Some(entry) = self.entry_mut(index) {
-            entry.ended = entry.lease.own_mark(entry.now, successors);
+            entry.ended = entry.lease.own_tenure(entry.now, successors);
             entry.lease.give_up(entry.now);
         }
     }
@@ -105,7 +105,7 @@
         let Some(tenure) = entry.ended.take() else {
             return;
         };
-        if is_late || entry.lease.is_last(&tenure) {
+        if is_late || entry.lease.is_latest_tenure(&tenure) {
             self.send(index, DutyRecord::Release { tenure }, speed);
         }
     }
@@ -162,12 +162,12 @@
                 lease.note_appended(entry.now, sent_at, generation, offset, open.record);
             }
             Some(Err(_)) => {
-                entry.lease.note_not_claimed();
+                entry.lease.note_claim_rejected();
                 if !is_claim {
                     self.read_to_end(index);
                 }
             }
-            None => entry.lease.note_unanswered(),
+            None => entry.lease.note_claim_unanswered(),
         }
     }
 
@@ -178,7 +178,7 @@
         let Some(open) = entry.open.take() else {
             return;
         };
-        entry.lease.note_unanswered();
+        entry.lease.note_claim_unanswered();
         self.note_late(open);
     }
 
@@ -196,7 +196,7 @@
         lease.note_generation(now, store.generation());
         if lease.next_offset() < store.first() {
             match broken {
-                BrokenLease::SilentSkip => lease.note_end(now, store.first()),
+                BrokenLease::SilentSkip => lease.note_read_end(now, store.first()),
                 _ => lease.skip_to(now, store.first()),
             }
         }
@@ -204,7 +204,7 @@
             let record = misread(broken, store.generation(), record.clone());
             lease.note_read(now, offset, record);
         }
-        lease.note_end(now, store.end());
+        lease.note_read_end(now, store.end());
     }
 }
 
@@ -227,7 +227,7 @@
         },
         (BrokenLease::LateRelease, DutyRecord::Release { tenure }) => {
             let fence = FenceToken(u64::MAX);
-            let tenure = TenureMark { fence, ..tenure };
+            let tenure = TenureInfo { fence, ..tenure };
             DutyRecord::Release { tenure }
         }
         (_, record) => record,
--- a/testutils/src/lease_model/exchanges.rs
+++ b/testutils/src/lease_model/exchanges.rs
@@ -90,7 +90,7 @@
             Some(generation) if is_foreign => FenceToken::of_claim(generation, end),
             _ => news.fence,
         };
-        entry.lease.note_heard(entry.now, fence, end);
+        entry.lease.note_holder_gossip(entry.now, fence, end);
         let known = entry.heard[from].filter(|known| known.life == news.life);
         if known.is_none_or(|known| known.sent_at < news.sent_at) {
             entry.heard[from] = Some(news);
--- a/testutils/src/lease_model/rights.rs
+++ b/testutils/src/lease_model/rights.rs
@@ -17,18 +17,18 @@
         let entry = self.entries[index].as_ref()?;
         let lease = &entry.lease;
         if self.breaks(BrokenLease::NewsAlone) {
-            let fence = lease.own_mark(entry.now, Vec::new())?.fence;
-            let left = TERMS.term;
+            let fence = lease.own_tenure(entry.now, Vec::new())?.fence;
+            let left = TERMS.short_term;
             return Some(SeenRight { index, fence, left });
         }
-        let right = lease.right(entry.now)?;
+        let right = lease.valid_lease(entry.now)?;
         let fence = match self.setup.broken {
-            BrokenLease::OffsetFence => FenceToken(right.fence.0 & u64::from(u32::MAX)),
-            _ => right.fence,
+            BrokenLease::OffsetFence => FenceToken(right.fencing_token.0 & u64::from(u32::MAX)),
+            _ => right.fencing_token,
         };
         let until = match self.setup.broken {
-            BrokenLease::LongCall => longest_call(entry).max(right.until),
-            _ => right.until,
+            BrokenLease::LongCall => longest_call(entry).max(right.expires_at),
+            _ => right.expires_at,
         };
         let left = until.since(entry.now);
         Some(SeenRight { index, fence, left })
