--- a/lib/src/gateway/read_schedule.rs
+++ b/lib/src/gateway/read_schedule.rs
@@ -1,99 +1,106 @@
-//! How often an entry reads the store, and which entries do.
+//! Decides which entries read the store, and how often.
 //!
-//! Pure. Each call to the store costs, and hundreds of entries that all ask are
-//! refused by it. So one entry reads, the first hub, and the others hear from
-//! it. The next hubs take its place once their knowledge is older than its
-//! reads and the way of its news explain, and all others read for themselves
-//! while there still is time to keep what operators are promised. Where that
-//! is more than the store gives, they take turns: hundreds that read a long
-//! list at once would keep the hubs' own reads from being answered, so that
-//! news stay old and everybody goes on reading.
+//! Pure: it does no I/O. Each call to the store costs, and the store refuses calls
+//! when hundreds of entries read it at once. So only the first hub reads, and sends
+//! what it read to the other entries. If their copies become too old, the other hubs
+//! read the store themselves, one after the other, and finally all entries do, early
+//! enough to meet the bound on staleness that operators set.
+//!
+//! If those reads take more bandwidth than the store has, entries take turns. If
+//! hundreds of entries read a long list at once, the reads of the hubs would wait
+//! behind them, the data that hubs send would stay old, and the entries would never
+//! stop reading.
 
 use std::time::Duration;
 
 use crate::gateway::peer_table::HUB_COUNT;
 
-/// The share of its bound for which a read of the configuration waits for news.
-/// A change ends the wait at once. An empty answer proves that there was none,
-/// so that knowledge is at least this old in places.
-const WAIT_SHARE: f64 = 0.2;
-/// The share of its bound between reads of the backend servers. Two ways of
-/// news, a quarter of a second each, and a read that fails fit in beside it.
-const PAUSE_SHARE: f64 = 0.3;
-/// The shares of a bound from which on entries read for themselves: the first
-/// hub always, the next ones one after the other, and the last one everybody,
-/// with a quarter of the bound left for it.
-const OWN_READ_SHARES: [f64; HUB_COUNT + 1] = [0.0, 0.55, 0.65, 0.75];
-/// The part of what the store gives to all readers that goes to entries which
-/// read the list of backend servers for themselves. All turns together take
-/// four times as much at the worst, which leaves half for all other reads.
-const OWN_READS_SHARE: f64 = 0.1;
-/// The bytes of a server's record in a read of the whole list: some 190, in
-/// base64, with its key and offset.
-const LISTED_BYTES: f64 = 310.0;
-/// How long entries that start for the first time, all together, wait for a
-/// hub's word before they read the store themselves. Callers come later.
-const FIRST_WORD: Duration = Duration::from_millis(3_000);
-/// How much later the next of those read that have their turn after others.
-const FIRST_TURN: Duration = Duration::from_millis(1_000);
-/// How many entries read at once that know no list yet, nor how long it is: as
-/// many as the store serves within a second with 3,000 servers listed.
-const FIRST_READERS: usize = 64;
+/// How long the store may delay its response to a read of the configuration, as a
+/// fraction of the bound. It responds at once when the configuration changes. An
+/// empty response shows that nothing changed until the read was sent, so copies can
+/// be at least this old.
+const POLL_TIMEOUT_FRACTION: f64 = 0.2;
+/// The interval between reads of the backend servers, as a fraction of the bound. The
+/// rest has room for two gossip hops of 250 ms each and one failed read.
+const POLL_INTERVAL_FRACTION: f64 = 0.3;
+/// The age of its copy, as a fraction of the bound, at which an entry reads the store
+/// itself: an element for each hub by rank, then one for all other entries. The first
+/// hub always reads. The last fraction leaves a quarter of the bound for the read.
+const DIRECT_READ_FRACTIONS: [f64; HUB_COUNT + 1] = [0.0, 0.55, 0.65, 0.75];
+/// The fraction of the store's read bandwidth for the entries that read the list of
+/// backend servers themselves in one turn. In the worst case all turns together take
+/// four times as much, which leaves half of the bandwidth for all other reads.
+const DIRECT_READ_BANDWIDTH_FRACTION: f64 = 0.1;
+/// The bytes that one record takes in a read of the full list: about 190 bytes, in
+/// base64, with key and offset.
+const LISTED_RECORD_BYTES: f64 = 310.0;
+/// How long the entries of a new deployment wait for data from a hub before they
+/// read the store themselves. Callers come later than that.
+const FIRST_START_WAIT: Duration = Duration::from_millis(3_000);
+/// The time between two turns of such reads.
+const FIRST_START_TURN: Duration = Duration::from_millis(1_000);
+/// How many entries read in one such turn. They don't know the length of the list
+/// yet; the store serves this many within a second if it lists 3,000 servers.
+const FIRST_START_MAX_READERS: usize = 64;
 
-/// The rhythm of reads that keeps one bound.
+/// When to read a topic so that no copy of it becomes older than a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadSchedule {
     bound: Duration,
 }
 
 impl ReadSchedule {
-    /// Returns the rhythm by which a change is known everywhere within `bound`.
+    /// Returns the schedule by which all entries receive a change within `bound`.
     pub fn with_bound(bound: Duration) -> Self {
         Self { bound }
     }
 
-    /// Returns how long a read waits for news.
-    pub fn wait(self) -> Duration {
-        self.bound.mul_f64(WAIT_SHARE)
+    /// Returns how long the store may delay its response until a record arrives.
+    pub fn poll_timeout(self) -> Duration {
+        self.bound.mul_f64(POLL_TIMEOUT_FRACTION)
     }
 
-    /// Returns the pause between reads that do not wait.
+    /// Returns the interval between reads to which the store responds at once.
     pub fn poll_interval(self) -> Duration {
-        self.bound.mul_f64(PAUSE_SHARE)
+        self.bound.mul_f64(POLL_INTERVAL_FRACTION)
     }
 
-    /// Returns how many entries may read a list of that many servers for
-    /// themselves at once, from a store that gives `read_mb_s` to all readers.
+    /// Returns how many entries may read a list of `servers` at the same time, from a
+    /// store with a read bandwidth of `read_mb_s`.
     pub fn max_readers(self, read_mb_s: f64, servers: usize) -> usize {
-        let bytes = OWN_READS_SHARE * read_mb_s * 1e6 * self.bound.as_secs_f64();
-        let readers = bytes / (LISTED_BYTES * servers.max(1) as f64);
+        let bytes = DIRECT_READ_BANDWIDTH_FRACTION * read_mb_s * 1e6 * self.bound.as_secs_f64();
+        let readers = bytes / (LISTED_RECORD_BYTES * servers.max(1) as f64);
         (readers as usize).max(HUB_COUNT)
     }
 
-    /// Returns the age of knowledge from which on the entry of a rank among
-    /// the hubs reads for itself, where `readers` may do so at once.
-    pub fn own_read_age(self, rank: usize, readers: usize) -> Duration {
-        let share = OWN_READ_SHARES[rank.min(HUB_COUNT)];
-        let turn = if rank < HUB_COUNT { 0 } else { rank / readers };
-        self.bound.mul_f64(share) * (turn as u32 + 1)
+    /// Returns the age of its copy at which the entry of a rank reads the store
+    /// itself, if `max_readers` entries may do so at the same time.
+    pub fn direct_read_age(self, rank: usize, max_readers: usize) -> Duration {
+        let fraction = DIRECT_READ_FRACTIONS[rank.min(HUB_COUNT)];
+        let turn = if rank < HUB_COUNT {
+            0
+        } else {
+            rank / max_readers
+        };
+        self.bound.mul_f64(fraction) * (turn as u32 + 1)
     }
 }
 
-/// What an entry knows when it decides whether to read.
+/// The state by which an entry decides whether to read a topic from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReaderState {
-    /// How many entries that may be hubs come before it.
+    /// Its rank as a hub: 0 for the first hub.
     pub rank: usize,
-    /// How many entries may read for themselves at once.
+    /// How many entries may read the topic at the same time.
     pub max_readers: usize,
-    /// Whether it holds the lease. Its holder has to know whether the store
-    /// answers it, and gives the lease up otherwise.
+    /// Whether it holds the lease. The holder always reads: it has to know whether
+    /// the store responds to it, and gives the lease up if not.
     pub holds_lease: bool,
-    /// The age of its knowledge, if it has any.
+    /// The age of its copy of the topic, if it has one.
     pub view_age: Option<Duration>,
-    /// Whether all entries start for the first time.
+    /// Whether the deployment starts for the first time.
     pub first_start: bool,
-    /// Whether it has read which other entries there are.
+    /// Whether it has read the list of entries.
     pub has_entry_list: bool,
     /// How long it has run.
     pub uptime: Duration,
@@ -101,13 +108,13 @@
 
 impl ReaderState {
     /// Returns whether to read the store now.
-    pub fn should_read_store(self, rhythm: ReadSchedule) -> bool {
+    pub fn should_read_store(self, schedule: ReadSchedule) -> bool {
         let Some(age) = self.view_age else {
-            let is_reader = self.has_entry_list && self.rank < HUB_COUNT;
-            let turn = (self.rank / FIRST_READERS) as u32;
-            let waited = self.uptime >= FIRST_WORD + FIRST_TURN * turn;
-            return !self.first_start || is_reader || waited;
+            let is_hub = self.has_entry_list && self.rank < HUB_COUNT;
+            let turn = (self.rank / FIRST_START_MAX_READERS) as u32;
+            let waited = self.uptime >= FIRST_START_WAIT + FIRST_START_TURN * turn;
+            return !self.first_start || is_hub || waited;
         };
-        self.holds_lease || age >= rhythm.own_read_age(self.rank, self.max_readers)
+        self.holds_lease || age >= schedule.direct_read_age(self.rank, self.max_readers)
     }
 }
--- a/lib/src/gateway/store_task.rs
+++ b/lib/src/gateway/store_task.rs
@@ -1,5 +1,5 @@
-//! Keeps the configuration, the backend servers and the list of entries fresh
-//! from the platform's store.
+//! Reads the configuration, the backend servers and the list of entries from the
+//! platform's store and keeps them up to date.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,61 +35,60 @@
 use crate::id::LogOffset;
 use crate::quantity::Timestamp;
 
-/// The pause between looks at the age of knowledge.
-const AGE_CHECK: Duration = Duration::from_millis(100);
-/// The pause after a failed call to the store, also before it is doubled.
-const FAILURE_PAUSE: Duration = Duration::from_millis(200);
-/// The longest such pause of an entry that hears the store's news from others.
-/// Calls that the store refuses cost as much as others: with 87 entries that
-/// all asked five times a second, an outage of five seconds cost 0.016 of the
-/// worth of a day.
-const LONGEST_FAILURE_PAUSE: Duration = Duration::from_millis(800);
-/// The pause between attempts to be listed among the entries.
-const LISTING_PAUSE: Duration = Duration::from_millis(500);
-/// The pause before the list of entries is read a second time. Entries that
-/// start together do so within a third of a second.
-const RELIST_PAUSE: Duration = Duration::from_millis(1_000);
-/// The longest pause between reads of the list while no other entry is heard.
-const LONGEST_RELIST_PAUSE: Duration = Duration::from_millis(8_000);
-/// The pause between looks at whether other entries are heard.
-const ALONE_CHECK: Duration = Duration::from_millis(1_000);
-
-/// Tells whether a dependency was lost or regained, once for each change.
-struct DependencyWatch {
+/// How often an entry checks whether a topic has to be read.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The delay after a first failed call to the store. It doubles with each failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The longest such delay, for an entry that receives the store's changes from
+/// other entries. Calls that the store refuses cost as much as others.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
+/// The delay after a failed call to the store about the list of entries.
+const LISTING_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// The delay before the list of entries is read a second time. Entries of one
+/// deployment that start together do so within a third of a second.
+const FIRST_RELIST_DELAY: Duration = Duration::from_millis(1_000);
+/// The longest delay between reads of the list while no other entry is reachable.
+const MAX_RELIST_DELAY: Duration = Duration::from_millis(8_000);
+/// How often an entry checks whether other entries are reachable.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// Tracks whether a dependency responds, and logs each change once.
+struct DependencyMonitor {
     name: &'static str,
     is_up: bool,
-    pause: Duration,
+    retry_delay: Duration,
 }
 
-impl DependencyWatch {
+impl DependencyMonitor {
     fn new(name: &'static str) -> Self {
         Self {
             name,
             is_up: true,
-            pause: FAILURE_PAUSE,
+            retry_delay: MIN_RETRY_DELAY,
         }
     }
 
     /// Waits after a failed call.
     async fn wait_after_failure(&mut self, context: &GatewayContext) {
-        let hears_others = context.peers.lock().entry_counts(context.now()).reachable > 1;
-        let longest = if hears_others && !always_reads(context) {
-            LONGEST_FAILURE_PAUSE
+        let reaches_others = context.peers.lock().entry_counts(context.now()).reachable > 1;
+        let longest = if reaches_others && !always_reads(context) {
+            MAX_RETRY_DELAY
         } else {
-            FAILURE_PAUSE
+            MIN_RETRY_DELAY
         };
-        tokio::time::sleep(self.pause.min(longest)).await;
-        self.pause = (self.pause * 2).min(LONGEST_FAILURE_PAUSE);
+        tokio::time::sleep(self.retry_delay.min(longest)).await;
+        self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
     }
 
-    /// Returns how long a call may wait for news: not at all after a failure, so
-    /// that the first answer proves at once what the newest is.
-    fn patience(&self, usual: Duration) -> Duration {
-        if self.is_up { usual } else { Duration::ZERO }
+    /// Returns how long the store may delay its response to a read until a record
+    /// arrives. After a failure it has to respond at once, so that this entry soon
+    /// knows the newest record.
+    fn poll_timeout(&self, default: Duration) -> Duration {
+        if self.is_up { default } else { Duration::ZERO }
     }
 
-    /// Notes the outcome of a call; returns whether it ended an outage.
-    fn note<T>(&mut self, context: &GatewayContext, result: &Result<T, PlatformError>) -> bool {
+    /// Records the result of a call. Returns whether it ended an outage.
+    fn record<T>(&mut self, context: &GatewayContext, result: &Result<T, PlatformError>) -> bool {
         let up = match result {
             Ok(_) | Err(PlatformError::OffsetOutOfRange(_) | PlatformError::Conflict(_)) => true,
             Err(
@@ -101,7 +100,7 @@
         };
         if up {
             context.note_store_response();
-            self.pause = FAILURE_PAUSE;
+            self.retry_delay = MIN_RETRY_DELAY;
         }
         let changed = up != self.is_up;
         self.is_up = up;
@@ -116,103 +115,108 @@
     }
 }
 
-/// Returns whether others depend on this entry's reads: the first hub's, and
-/// those of the holder of the lease, which has to know whether the store
-/// answers it.
+/// Returns whether this entry has to read the store itself, whatever it receives
+/// from others. The first hub does because the others get the changes from it, and
+/// the lease holder because it has to know whether the store responds to it.
 fn always_reads(context: &GatewayContext) -> bool {
     let rank = context.peers.lock().hub_rank(context.now());
     rank == 0 || context.lease.lock().is_holder()
 }
 
-/// Waits while other entries keep the knowledge young enough.
-async fn wait_own_read(
+/// Waits until this entry has to read a topic itself. It does not as long as the
+/// messages of other entries keep its copy fresh.
+async fn wait_until_read_due(
     context: &GatewayContext,
-    rhythm: ReadSchedule,
-    knowledge: impl Fn() -> StoreKnowledge,
+    schedule: ReadSchedule,
+    view: impl Fn() -> TopicView,
 ) {
-    while !reader_state(context, knowledge()).should_read_store(rhythm) {
-        tokio::time::sleep(AGE_CHECK).await;
+    while !reader_state(context, view()).should_read_store(schedule) {
+        tokio::time::sleep(AGE_CHECK_INTERVAL).await;
     }
 }
 
-/// What decides beside an entry's place whether it reads a topic.
-struct StoreKnowledge {
-    /// When what it knows was the newest.
-    known_at: Option<Timestamp>,
-    /// How many entries may read for themselves at once.
-    readers: usize,
+/// The state of an entry's copy of a topic, as far as it decides whether the entry
+/// reads the store.
+struct TopicView {
+    /// When the copy was last known to be the newest.
+    confirmed_at: Option<Timestamp>,
+    /// How many entries may read the topic at the same time.
+    max_readers: usize,
 }
 
-fn config_knowledge(context: &GatewayContext) -> StoreKnowledge {
-    StoreKnowledge {
-        known_at: context.config.lock().confirmed_at(),
-        // Nothing is read while nothing changes.
-        readers: usize::MAX,
+fn config_view(context: &GatewayContext) -> TopicView {
+    TopicView {
+        confirmed_at: context.config.lock().confirmed_at(),
+        // Reads are cheap: they return nothing while nothing changes.
+        max_readers: usize::MAX,
     }
 }
 
-fn backends_knowledge(context: &GatewayContext, rhythm: ReadSchedule) -> StoreKnowledge {
+fn backends_view(context: &GatewayContext, schedule: ReadSchedule) -> TopicView {
     let backends = context.backends.lock();
     let servers = backends.iter().count();
-    StoreKnowledge {
-        known_at: backends.confirmed_at(),
-        readers: rhythm.max_readers(context.settings.store_read_mb_s, servers),
+    TopicView {
+        confirmed_at: backends.confirmed_at(),
+        max_readers: schedule.max_readers(context.settings.store_read_mb_s, servers),
     }
 }
 
-fn reader_state(context: &GatewayContext, knowledge: StoreKnowledge) -> ReaderState {
+fn reader_state(context: &GatewayContext, view: TopicView) -> ReaderState {
     let now = context.now();
     let peers = context.peers.lock();
     ReaderState {
         rank: peers.hub_rank(now),
-        max_readers: knowledge.readers,
+        max_readers: view.max_readers,
         holds_lease: context.lease.lock().is_holder(),
-        view_age: knowledge.known_at.map(|at| now.since(at)),
+        view_age: view.confirmed_at.map(|at| now.since(at)),
         first_start: context.settings.first_start,
         has_entry_list: peers.is_list_read(),
         uptime: now.since(Timestamp(0)),
     }
 }
 
-/// Follows the configuration until the entry stops.
+/// Keeps the configuration up to date until the entry stops.
 pub async fn follow_config(context: Arc<GatewayContext>) {
-    let mut watch = DependencyWatch::new("store: configuration");
-    let rhythm = ReadSchedule::with_bound(context.settings.bounds.config_apply);
+    let mut monitor = DependencyMonitor::new("store: configuration");
+    let schedule = ReadSchedule::with_bound(context.settings.bounds.config_apply);
     loop {
-        wait_own_read(&context, rhythm, || config_knowledge(&context)).await;
-        let asked_at = context.now();
+        wait_until_read_due(&context, schedule, || config_view(&context)).await;
+        let requested_at = context.now();
         let store = &context.platform.store;
         let topic = LogTopic::Configuration;
         let next = context.config.lock().log_end();
         let result = match next {
             None => store.read_latest(topic).await,
-            Some(from) => store.read(topic, from, watch.patience(rhythm.wait())).await,
+            Some(from) => {
+                store
+                    .read(topic, from, monitor.poll_timeout(schedule.poll_timeout()))
+                    .await
+            }
         };
-        watch.note(&context, &result);
+        monitor.record(&context, &result);
         match result {
-            Ok(slice) if passes_over(&slice, next) => context.config.lock().reset_log_end(),
+            Ok(slice) if misses_records(&slice, next) => context.config.lock().reset_log_end(),
             Ok(slice) => {
                 apply_config(&context, &slice);
                 let mut config = context.config.lock();
                 config.note_read(slice.end);
                 let revision = config.revision();
-                config.confirm(revision, asked_at);
+                config.confirm(revision, requested_at);
             }
             Err(PlatformError::OffsetOutOfRange(_)) => context.config.lock().reset_log_end(),
-            Err(_) => watch.wait_after_failure(&context).await,
+            Err(_) => monitor.wait_after_failure(&context).await,
         }
     }
 }
 
-/// Returns whether a slice lacks records that came after what is known: they
-/// are no longer kept, or the answer had no room for them. In a keyed topic only
-/// the newest of each key counts, so these are asked for then.
-fn passes_over(slice: &LogSlice, next: Option<LogOffset>) -> bool {
+/// Returns whether a slice lacks records after offset `next`, because the store no
+/// longer keeps them or truncated its response. The caller then reads the latest
+/// record of each key instead, since only those count in a keyed topic.
+fn misses_records(slice: &LogSlice, next: Option<LogOffset>) -> bool {
     slice.is_truncated() || next.is_some_and(|from| slice.oldest > from)
 }
 
-/// Adopts the newest configuration of a slice; what came before it is of no use
-/// to anybody.
+/// Adopts the newest configuration of a slice and ignores earlier ones.
 fn apply_config(context: &GatewayContext, slice: &LogSlice) {
     let key = context.platform.format.config_key();
     let published =
@@ -222,7 +226,7 @@
     };
     let log_end = LogOffset(record.offset.0 + 1);
     let known = context.config.lock().log_end();
-    // Another entry's copy may have come first.
+    // Another entry may have sent the document before the store returned it.
     if known.is_some_and(|known| known >= log_end) {
         return;
     }
@@ -231,41 +235,41 @@
     }
 }
 
-/// Adopts a document that the store has, whose log goes on at `log_end`.
-/// Returns whether it could be read.
+/// Adopts a document from the store. `log_end` is the offset after its record.
+/// Returns whether the document could be read.
 pub fn adopt_published(context: &GatewayContext, document: &Bytes, log_end: LogOffset) -> bool {
-    let offered = PackedDocument::pack(document)
+    let outcome = PackedDocument::pack(document)
         .map_err(|error| error.to_string())
-        .and_then(|packed| offer_config(context, document, packed, Some(log_end), "store"));
-    note_unreadable(context, "store", &offered);
-    offered.is_ok()
+        .and_then(|packed| adopt_if_newer(context, document, packed, Some(log_end), "store"));
+    log_unreadable(context, "store", &outcome);
+    outcome.is_ok()
 }
 
-/// Adopts a document that came whole from another entry. Returns whether its
-/// revision, or a later one, is in force here now.
-pub fn adopt_received(context: &GatewayContext, arrived: ReceivedDocument) -> bool {
+/// Adopts a complete document from another entry. Returns whether its revision, or
+/// a later one, is now in force here.
+pub fn adopt_received(context: &GatewayContext, received: ReceivedDocument) -> bool {
     let ReceivedDocument {
         revision,
         document,
         log_end,
-    } = arrived;
-    let offered = document
+    } = received;
+    let outcome = document
         .unpack()
         .map_err(|error| error.to_string())
-        .and_then(|unpacked| offer_config(context, &unpacked, document, log_end, "entry"));
-    note_unreadable(context, "entry", &offered);
+        .and_then(|unpacked| adopt_if_newer(context, &unpacked, document, log_end, "entry"));
+    log_unreadable(context, "entry", &outcome);
     context.config.lock().revision() >= revision
 }
 
-fn note_unreadable(context: &GatewayContext, source: &str, offered: &Result<(), String>) {
-    if let Err(error) = offered {
+fn log_unreadable(context: &GatewayContext, source: &str, outcome: &Result<(), String>) {
+    if let Err(error) = outcome {
         counter!("cloverbend_configs_unreadable_total").increment(1);
         warn!(context.log, "configuration refused"; "source" => source, "error" => error);
     }
 }
 
 /// Decodes a configuration and adopts it if it is newer.
-fn offer_config(
+fn adopt_if_newer(
     context: &GatewayContext,
     document: &[u8],
     packed: PackedDocument,
@@ -289,42 +293,42 @@
     Ok(())
 }
 
-/// Follows the backend servers until the entry stops.
+/// Keeps the list of backend servers up to date until the entry stops.
 pub async fn follow_backends(context: Arc<GatewayContext>) {
-    let mut watch = DependencyWatch::new("store: backend servers");
-    let rhythm = ReadSchedule::with_bound(context.settings.bounds.drain);
+    let mut monitor = DependencyMonitor::new("store: backend servers");
+    let schedule = ReadSchedule::with_bound(context.settings.bounds.drain);
     let mut next: Option<LogOffset> = None;
     loop {
-        wait_own_read(&context, rhythm, || backends_knowledge(&context, rhythm)).await;
-        let asked_at = context.now();
+        wait_until_read_due(&context, schedule, || backends_view(&context, schedule)).await;
+        let requested_at = context.now();
         let store = &context.platform.store;
         let topic = LogTopic::Backends;
         let result = match next {
             None => store.read_latest(topic).await,
             Some(from) => store.read(topic, from, Duration::ZERO).await,
         };
-        if watch.note(&context, &result) {
+        if monitor.record(&context, &result) {
             let now = context.now();
             context.backends.lock().note_store_recovered(now);
         }
         match result {
-            Ok(slice) if passes_over(&slice, next) => next = None,
+            Ok(slice) if misses_records(&slice, next) => next = None,
             Ok(slice) => {
-                let whole = next.is_none();
+                let is_full_list = next.is_none();
                 next = Some(slice.end);
-                apply_backends(&context, &slice, whole);
-                context.backends.lock().confirm(asked_at);
-                tokio::time::sleep(rhythm.poll_interval()).await;
+                apply_backends(&context, &slice, is_full_list);
+                context.backends.lock().confirm(requested_at);
+                tokio::time::sleep(schedule.poll_interval()).await;
             }
             Err(PlatformError::OffsetOutOfRange(_)) => next = None,
-            Err(_) => watch.wait_after_failure(&context).await,
+            Err(_) => monitor.wait_after_failure(&context).await,
         }
     }
 }
 
-/// Takes over the list of another entry, which was the newest at `known_at`,
-/// if the own one is older. Times are compared and not ages: the age that the
-/// other told is from before its message was on its way.
+/// Adopts the backend list of another entry, which was up to date at `known_at`, if
+/// the list of this entry is older. Points in time are compared rather than ages:
+/// an age in a message grows while the message is on its way.
 pub fn adopt_backend_list(
     context: &GatewayContext,
     records: &[BackendRecord],
@@ -334,11 +338,11 @@
     let mut backends = context.backends.lock();
     let changes = backends.replace_if_newer(now, known_at, records.to_vec());
     drop(backends);
-    note_heard_changes(context, &changes);
+    note_received_changes(context, &changes);
 }
 
-/// Takes over how the list of another entry differs from the own one. That list
-/// was the newest at `known_at` and has the digest `target`.
+/// Applies the changes that turn this entry's backend list into that of another
+/// entry, which was up to date at `known_at` and has the digest `target`.
 pub fn adopt_backend_changes(
     context: &GatewayContext,
     changes: &ListChanges,
@@ -347,37 +351,37 @@
 ) {
     let now = context.now();
     let mut backends = context.backends.lock();
-    let made = backends.apply_changes(now, known_at, target, changes.clone());
+    let applied = backends.apply_changes(now, known_at, target, changes.clone());
     drop(backends);
-    note_heard_changes(context, &made);
+    note_received_changes(context, &applied);
 }
 
-/// Takes over that servers leave, as another entry told.
-pub fn note_draining(context: &GatewayContext, leaving: &[BackendId]) {
+/// Marks backend servers as draining that another entry reported as such.
+pub fn note_draining(context: &GatewayContext, draining: &[BackendId]) {
     let mut backends = context.backends.lock();
-    let changes: Vec<BackendChange> = leaving
+    let changes: Vec<BackendChange> = draining
         .iter()
         .filter_map(|id| backends.mark_listed_draining(id))
         .collect();
     drop(backends);
-    note_heard_changes(context, &changes);
+    note_received_changes(context, &changes);
 }
 
-/// Returns the last record of each key. Earlier ones must not be applied: this
-/// entry may have learnt from others what came after them.
-fn newest_by_key(slice: &LogSlice) -> BTreeMap<&str, &LogRecord> {
+/// Returns the last record of each key. Earlier ones must not be applied, because
+/// this entry may have received later ones from other entries.
+fn latest_by_key(slice: &LogSlice) -> BTreeMap<&str, &LogRecord> {
     let records = slice.records.iter();
     records
         .filter_map(|record| Some((record.key.as_deref()?, record)))
         .collect()
 }
 
-fn apply_backends(context: &GatewayContext, slice: &LogSlice, whole: bool) {
+fn apply_backends(context: &GatewayContext, slice: &LogSlice, is_full_list: bool) {
     let now = context.now();
     let mut records = Vec::new();
     let mut changes = Vec::new();
     let mut backends = context.backends.lock();
-    for (key, record) in newest_by_key(slice) {
+    for (key, record) in latest_by_key(slice) {
         let name = BackendName(key.to_owned());
         if record.value.is_empty() {
             changes.extend(backends.note_absent(now, &name));
@@ -385,38 +389,38 @@
         }
         let decoded = context.platform.format.decode_backend(key, &record.value);
         match decoded.and_then(|decoded| check_start(&backends, decoded)) {
-            Ok(decoded) if whole => records.push(decoded),
+            Ok(decoded) if is_full_list => records.push(decoded),
             Ok(decoded) => changes.extend(backends.put(decoded)),
             Err(error) => {
                 changes.extend(backends.note_unusable(&name));
-                note_refused_record(context, &name, &error);
+                log_refused_record(context, &name, &error);
             }
         }
     }
-    if whole {
+    if is_full_list {
         changes.extend(backends.replace(now, records));
     }
     changes.extend(backends.expire_missing(now));
     drop(backends);
     for change in changes {
-        note_backend_change(context, &change);
+        note_stored_change(context, &change);
     }
 }
 
-/// Refuses a record without the start that its server told before.
+/// Refuses a record without a start time if earlier records of its server had one.
 fn check_start(backends: &BackendSet, record: BackendRecord) -> Result<BackendRecord, FormatError> {
     if backends.lacks_start(&record) {
         return Err(FormatError {
             subject: "backend server's record",
-            cause: "the start of its life is missing".to_owned(),
+            cause: "the start time of the server is missing".to_owned(),
         });
     }
     Ok(record)
 }
 
-/// Notes a record that names no server to use. Lines are bounded: whoever can
-/// write one can write thousands.
-fn note_refused_record(context: &GatewayContext, name: &BackendName, error: &FormatError) {
+/// Logs a record that cannot be used. The number of lines is bounded, because
+/// whoever can write one such record can write thousands.
+fn log_refused_record(context: &GatewayContext, name: &BackendName, error: &FormatError) {
     counter!("cloverbend_backend_records_refused_total").increment(1);
     if context.may_log(&name.0, LineClass::Failure) {
         warn!(context.log, "backend server's record refused"; "backend" => %name,
@@ -424,15 +428,15 @@
     }
 }
 
-/// Lets go of what this entry has of a server's earlier lives: connections, and
-/// requests that will never be answered.
-fn follow_change(context: &GatewayContext, change: &BackendChange) {
+/// Closes connections to earlier incarnations of a server, and cancels requests
+/// that they will never answer.
+fn drop_stale_state(context: &GatewayContext, change: &BackendChange) {
     match change {
         BackendChange::Joined(record) => {
             context.pool.close_replaced(&record.id);
             let ended = context.incarnations.cancel_replaced(&record.id);
             if ended > 0 {
-                info!(context.log, "backend server started again"; "backend" => %record.id,
+                info!(context.log, "backend server restarted"; "backend" => %record.id,
                     "requests_lost" => ended);
             }
         }
@@ -441,25 +445,25 @@
     }
 }
 
-/// Notes changes that another entry told. Hundreds of entries learn of each, so
-/// only those that read it in the store write a line about it, and the others
-/// one a second with the numbers.
-fn note_heard_changes(context: &GatewayContext, changes: &[BackendChange]) {
+/// Handles changes received from another entry. Hundreds of entries receive each
+/// change. To bound the log, an entry that reads a change from the store logs it,
+/// and all others log one line a second with counts.
+fn note_received_changes(context: &GatewayContext, changes: &[BackendChange]) {
     counter!("cloverbend_backend_changes_total").increment(changes.len() as u64);
-    let mut heard = context.change_counts.lock();
+    let mut counts = context.change_counts.lock();
     for change in changes {
-        heard.note(change);
+        counts.note(change);
     }
-    drop(heard);
+    drop(counts);
     for change in changes {
-        follow_change(context, change);
+        drop_stale_state(context, change);
     }
 }
 
-/// Notes a change that this entry read in the store.
-fn note_backend_change(context: &GatewayContext, change: &BackendChange) {
+/// Handles a change that this entry read from the store.
+fn note_stored_change(context: &GatewayContext, change: &BackendChange) {
     counter!("cloverbend_backend_changes_total").increment(1);
-    follow_change(context, change);
+    drop_stale_state(context, change);
     match change {
         BackendChange::Joined(record) => {
             info!(context.log, "backend server joined"; "backend" => %record.id,
@@ -467,7 +471,7 @@
                 "address" => %record.address, "reclaimable" => record.reclaimable);
         }
         BackendChange::Draining(id) => {
-            info!(context.log, "backend server leaving"; "backend" => %id);
+            info!(context.log, "backend server draining"; "backend" => %id);
         }
         BackendChange::Missing(id) => {
             info!(context.log, "backend server missing"; "backend" => %id);
@@ -483,18 +487,18 @@
 pub struct EntryListing {
     /// Where it listens for other entries.
     pub address: SocketAddr,
-    /// How much it can carry as a hub; nothing in listings of older versions.
+    /// Its [`HubCapacity`]; 0 in listings that older versions wrote.
     #[serde(default)]
     pub strength: u32,
 }
 
-/// Lists this entry, then reads who else is listed: at once, again when all
-/// that started together are listed, and whenever no other entry is heard.
+/// Adds this entry to the list of entries, then reads the list: at once, again when
+/// all entries that started together are on it, and whenever no other entry is
+/// reachable.
 ///
-/// The topic is read as a log, which is one call for any number of entries
-/// while their records are recent and for those that came since. Its newest
-/// records by key come in pages: with 295 entries that start together, 12 calls
-/// of each of them.
+/// The topic is read as a log, from the last offset read on. That takes one call for
+/// any number of entries, as long as the store still keeps their records. Reading
+/// the latest record of each key takes a call per page: 12 calls for 295 entries.
 pub async fn discover_entries(context: Arc<GatewayContext>) {
     let listing = EntryListing {
         address: context.settings.peer_advertised,
@@ -505,29 +509,29 @@
         return;
     };
     let value = Bytes::from(value);
-    let mut watch = DependencyWatch::new("store: entries");
+    let mut monitor = DependencyMonitor::new("store: entries");
     let store = &context.platform.store;
     let name = context.settings.name.as_str();
     loop {
         let appended = store
             .append(LogTopic::Entries, Some(name), value.clone(), None)
             .await;
-        watch.note(&context, &appended);
+        monitor.record(&context, &appended);
         if appended.is_ok() {
             break;
         }
-        tokio::time::sleep(LISTING_PAUSE).await;
+        tokio::time::sleep(LISTING_RETRY_DELAY).await;
     }
-    let mut pause = RELIST_PAUSE;
+    let mut pause = FIRST_RELIST_DELAY;
     let mut next = Some(LogOffset(0));
     loop {
         let listed = match next {
             None => store.read_latest(LogTopic::Entries).await,
             Some(from) => store.read(LogTopic::Entries, from, Duration::ZERO).await,
         };
-        watch.note(&context, &listed);
+        monitor.record(&context, &listed);
         let slice = match listed {
-            Ok(slice) if passes_over(&slice, next) => {
+            Ok(slice) if misses_records(&slice, next) => {
                 next = None;
                 continue;
             }
@@ -537,32 +541,33 @@
                 continue;
             }
             Err(_) => {
-                tokio::time::sleep(LISTING_PAUSE).await;
+                tokio::time::sleep(LISTING_RETRY_DELAY).await;
                 continue;
             }
         };
         next = Some(slice.end);
-        note_listed(&context, &slice);
+        note_listings(&context, &slice);
         tokio::time::sleep(pause).await;
-        // The second read finds those that started together with this entry.
-        // Two that read the list before the rest would hear only each other.
-        if pause > RELIST_PAUSE {
+        // The second read finds the entries that started together with this one.
+        // Without it, two entries that read the list before the others were on it
+        // would only reach each other.
+        if pause > FIRST_RELIST_DELAY {
             wait_until_alone(&context).await;
         }
-        pause = (pause * 2).min(LONGEST_RELIST_PAUSE);
+        pause = (pause * 2).min(MAX_RELIST_DELAY);
     }
 }
 
-/// Waits as long as any other entry is heard. Entries talk to hubs only: one
-/// that is no hub, and that read the list before the hubs were on it, is told
-/// nothing by anybody.
+/// Waits until no other entry is reachable. Entries exchange messages with hubs
+/// only, so an entry that is no hub and read the list before the hubs were on it
+/// receives none.
 async fn wait_until_alone(context: &GatewayContext) {
     while context.peers.lock().entry_counts(context.now()).reachable > 1 {
-        tokio::time::sleep(ALONE_CHECK).await;
+        tokio::time::sleep(PEER_CHECK_INTERVAL).await;
     }
 }
 
-fn note_listed(context: &GatewayContext, slice: &LogSlice) {
+fn note_listings(context: &GatewayContext, slice: &LogSlice) {
     let now = context.now();
     let mut peers = context.peers.lock();
     for record in &slice.records {
@@ -573,8 +578,8 @@
         let listing = serde_json::from_slice::<EntryListing>(&record.value);
         match (name, listing) {
             (Some(name), Ok(listing)) => {
-                let strength = HubCapacity(listing.strength);
-                peers.note_listed(now, name, listing.address, strength);
+                let capacity = HubCapacity(listing.strength);
+                peers.note_listed(now, name, listing.address, capacity);
             }
             _ => warn!(context.log, "entry's listing refused"; "key" => record.key.as_deref()),
         }
--- a/lib/tests/test_store_jam.rs
+++ b/lib/tests/test_store_jam.rs
@@ -1,10 +1,10 @@
-//! Hundreds of entries that hear nothing of their hubs for a while.
+//! Simulates hundreds of entries that receive nothing from their hubs for a while.
 //!
-//! All of them read the list of 3,000 backend servers for themselves then, which
-//! is more than the store gives in a second. The hubs' own reads wait behind
-//! theirs, so that what hubs tell is old when they are back, and everybody goes
-//! on reading. One such jam lasted to the end of a day: 98 % of the requests were
-//! refused, since nobody knew any longer which keys were in force.
+//! All entries then read the list of backend servers from the store, which for 3,000
+//! servers takes more bandwidth than the store has. Reads of the hubs wait behind
+//! those reads, so that the hubs send old data when they are back, and the entries
+//! keep reading. Such a jam does not end by itself, and entries refuse requests
+//! because they don't know whether an API key is still valid.
 
 use std::time::Duration;
 
@@ -14,49 +14,51 @@
 use rstest::rstest;
 
 const STEP: Duration = Duration::from_millis(50);
-const LENGTH: Duration = Duration::from_secs(40);
+const RUN_TIME: Duration = Duration::from_secs(40);
 const BOUND: Duration = Duration::from_millis(2_000);
-/// The age from which on requests with a key are refused.
-const TOO_OLD: Duration = Duration::from_millis(4_250);
-/// What the store gives to all readers in a second.
+/// The age of its copy above which an entry refuses requests with an API key.
+const MAX_COPY_AGE: Duration = Duration::from_millis(4_250);
+/// The read bandwidth of the store.
 const STORE_BYTES_PER_S: f64 = 80e6;
-/// A record among the newest of all keys, in base64.
-const LISTED_BYTES: usize = 310;
-/// A record of the log, of which each server writes one in 1.2 s.
-const LOGGED_BYTES: f64 = 210.0;
-const HEARTBEAT: Duration = Duration::from_millis(1_200);
-/// A longer answer of the log is cut, and the whole list asked for instead.
-const LONGEST_ANSWER: f64 = 1_024.0 * 1_024.0;
-/// How long an entry waits for the first byte of an answer.
-const PATIENCE: Duration = Duration::from_millis(900);
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
-/// How old what a hub knows is when others hear it.
-const WAY_OF_NEWS: Duration = Duration::from_millis(400);
-/// When the hubs tell nothing, and when they are back.
-const SILENT: std::ops::Range<Timestamp> =
+/// The size of one record in a read of the full list, in base64.
+const LISTED_RECORD_BYTES: usize = 310;
+/// The size of one record in a read of the log.
+const LOGGED_RECORD_BYTES: f64 = 210.0;
+/// How often each server writes a record.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
+/// The store truncates longer responses; the reader then reads the full list instead.
+const MAX_RESPONSE_BYTES: f64 = 1_024.0 * 1_024.0;
+/// How long an entry waits for the first byte of a response.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// The age of a hub's data when other entries receive it.
+const GOSSIP_DELAY: Duration = Duration::from_millis(400);
+/// The time during which the hubs send nothing.
+const HUB_OUTAGE: std::ops::Range<Timestamp> =
     Timestamp::from_millis(5_000)..Timestamp::from_millis(8_000);
-/// By when all entries have to know the list again, which they hear a second
-/// after the hubs are back.
-const KNOWN_AGAIN: Timestamp = Timestamp::from_millis(12_000);
+/// From when on all entries must have a fresh list. They receive one a second after
+/// the hubs are back.
+const RECOVERED_AT: Timestamp = Timestamp::from_millis(12_000);
 
 #[derive(Clone, Copy)]
-enum Reading {
-    Rests(Timestamp),
-    Waits {
-        asked_at: Timestamp,
-        answered_at: Timestamp,
+enum ReadState {
+    Idle(Timestamp),
+    Pending {
+        requested_at: Timestamp,
+        responded_at: Timestamp,
     },
 }
 
 #[derive(Clone, Copy)]
 struct ModelEntry {
-    known_at: Timestamp,
-    /// Up to when it has read the log itself, if it has.
+    /// When its copy of the list was last known to be the newest.
+    confirmed_at: Timestamp,
+    /// When it sent its last successful read, if there was one.
     read_to: Option<Timestamp>,
-    reading: Reading,
+    reading: ReadState,
 }
 
-struct JamWorld {
+struct StoreModel {
     entries: Vec<ModelEntry>,
     servers: usize,
     now: Timestamp,
@@ -64,12 +66,12 @@
     read_bytes: f64,
 }
 
-impl JamWorld {
+impl StoreModel {
     fn new(entries: usize, servers: usize) -> Self {
         let entry = ModelEntry {
-            known_at: Timestamp(0),
+            confirmed_at: Timestamp(0),
             read_to: None,
-            reading: Reading::Rests(Timestamp(0)),
+            reading: ReadState::Idle(Timestamp(0)),
         };
         Self {
             entries: vec![entry; entries],
@@ -80,16 +82,16 @@
         }
     }
 
-    /// Returns how many bytes an entry's next read takes.
+    /// Returns the size of the response to an entry's next read.
     fn next_bytes(&self, entry: &ModelEntry) -> f64 {
-        let whole = (self.servers * LISTED_BYTES) as f64;
+        let full_list = (self.servers * LISTED_RECORD_BYTES) as f64;
         let Some(read_to) = entry.read_to else {
-            return whole;
+            return full_list;
         };
-        let beats = self.now.since(read_to).as_secs_f64() / HEARTBEAT.as_secs_f64();
-        let logged = beats * self.servers as f64 * LOGGED_BYTES;
-        if logged > LONGEST_ANSWER {
-            LONGEST_ANSWER + whole
+        let beats = self.now.since(read_to).as_secs_f64() / HEARTBEAT_INTERVAL.as_secs_f64();
+        let logged = beats * self.servers as f64 * LOGGED_RECORD_BYTES;
+        if logged > MAX_RESPONSE_BYTES {
+            MAX_RESPONSE_BYTES + full_list
         } else {
             logged
         }
@@ -97,78 +99,78 @@
 
     fn step(&mut self) {
         self.now = self.now.after(STEP);
-        let rhythm = ReadSchedule::with_bound(BOUND);
+        let schedule = ReadSchedule::with_bound(BOUND);
         for rank in 0..self.entries.len() {
             let mut entry = self.entries[rank];
             match entry.reading {
-                Reading::Waits { answered_at, .. } if self.now < answered_at => {}
-                Reading::Waits {
-                    asked_at,
-                    answered_at,
+                ReadState::Pending { responded_at, .. } if self.now < responded_at => {}
+                ReadState::Pending {
+                    requested_at,
+                    responded_at,
                 } => {
-                    let in_time = answered_at.since(asked_at) < PATIENCE;
+                    let in_time = responded_at.since(requested_at) < READ_TIMEOUT;
                     let pause = if in_time {
-                        rhythm.poll_interval()
+                        schedule.poll_interval()
                     } else {
-                        FAILURE_PAUSE
+                        RETRY_DELAY
                     };
                     if in_time {
-                        entry.known_at = entry.known_at.max(asked_at);
-                        entry.read_to = Some(asked_at);
+                        entry.confirmed_at = entry.confirmed_at.max(requested_at);
+                        entry.read_to = Some(requested_at);
                     }
-                    entry.reading = Reading::Rests(self.now.after(pause));
+                    entry.reading = ReadState::Idle(self.now.after(pause));
                 }
-                Reading::Rests(until) if self.now < until => {}
-                Reading::Rests(_) => self.ask(rank, &mut entry, rhythm),
+                ReadState::Idle(until) if self.now < until => {}
+                ReadState::Idle(_) => self.try_read(rank, &mut entry, schedule),
             }
             self.entries[rank] = entry;
         }
-        self.hear();
+        self.receive_gossip();
     }
 
-    fn ask(&mut self, rank: usize, entry: &mut ModelEntry, rhythm: ReadSchedule) {
+    fn try_read(&mut self, rank: usize, entry: &mut ModelEntry, schedule: ReadSchedule) {
         let state = ReaderState {
             rank,
-            max_readers: rhythm.max_readers(STORE_BYTES_PER_S / 1e6, self.servers),
+            max_readers: schedule.max_readers(STORE_BYTES_PER_S / 1e6, self.servers),
             holds_lease: false,
-            view_age: Some(self.now.since(entry.known_at)),
+            view_age: Some(self.now.since(entry.confirmed_at)),
             first_start: false,
             has_entry_list: true,
             uptime: self.now.since(Timestamp(0)),
         };
-        if !state.should_read_store(rhythm) {
+        if !state.should_read_store(schedule) {
             return;
         }
         let bytes = self.next_bytes(entry);
         self.read_bytes += bytes;
         let begins = self.store_free_at.max(self.now);
-        // Whoever gives up has its answer written all the same.
+        // The store writes the response even if the reader has given up.
         self.store_free_at = begins.after(Duration::from_secs_f64(bytes / STORE_BYTES_PER_S));
-        let answered_at = self.store_free_at.min(self.now.after(PATIENCE));
-        entry.reading = Reading::Waits {
-            asked_at: self.now,
-            answered_at,
+        let responded_at = self.store_free_at.min(self.now.after(READ_TIMEOUT));
+        entry.reading = ReadState::Pending {
+            requested_at: self.now,
+            responded_at,
         };
     }
 
-    /// All entries hear what the first of them knew a moment ago.
-    fn hear(&mut self) {
-        if SILENT.contains(&self.now) {
+    /// Gives all entries the data that the first entry had a moment ago.
+    fn receive_gossip(&mut self) {
+        if HUB_OUTAGE.contains(&self.now) {
             return;
         }
-        let told = self.entries[0].known_at;
-        let is_told = self.now.since(told) >= WAY_OF_NEWS;
-        for entry in self.entries.iter_mut().filter(|_| is_told) {
-            entry.known_at = entry.known_at.max(told);
+        let hub_confirmed_at = self.entries[0].confirmed_at;
+        let has_arrived = self.now.since(hub_confirmed_at) >= GOSSIP_DELAY;
+        for entry in self.entries.iter_mut().filter(|_| has_arrived) {
+            entry.confirmed_at = entry.confirmed_at.max(hub_confirmed_at);
         }
     }
 
-    fn too_old(&self) -> usize {
+    fn stale_count(&self) -> usize {
         let ages = self
             .entries
             .iter()
-            .map(|entry| self.now.since(entry.known_at));
-        ages.filter(|age| *age > TOO_OLD).count()
+            .map(|entry| self.now.since(entry.confirmed_at));
+        ages.filter(|age| *age > MAX_COPY_AGE).count()
     }
 }
 
@@ -177,17 +179,17 @@
 #[case::a_thousand_servers(302, 1_000)]
 #[case::a_hundred_entries(102, 1_000)]
 #[case::a_small_deployment(9, 22)]
-fn entries_that_heard_nothing_know_again_when_hubs_are_back(
+fn all_entries_have_a_fresh_list_soon_after_the_hubs_are_back(
     #[case] entries: usize,
     #[case] servers: usize,
 ) {
-    let mut world = JamWorld::new(entries, servers);
-    let mut too_old = 0;
-    while world.now < Timestamp(0).after(LENGTH) {
-        world.step();
-        if world.now >= KNOWN_AGAIN {
-            too_old = too_old.max(world.too_old());
+    let mut model = StoreModel::new(entries, servers);
+    let mut stale_count = 0;
+    while model.now < Timestamp(0).after(RUN_TIME) {
+        model.step();
+        if model.now >= RECOVERED_AT {
+            stale_count = stale_count.max(model.stale_count());
         }
     }
-    assert_eq!(too_old, 0, "{:.1} GB read", world.read_bytes / 1e9);
+    assert_eq!(stale_count, 0, "{:.1} GB read", model.read_bytes / 1e9);
 }
