--- a/lib/src/gateway/duty_call.rs
+++ b/lib/src/gateway/duty_call.rs
@@ -1,4 +1,4 @@
-//! Single calls to the cloud, each under a right to act.
+//! Calls to the cloud, each made with a valid lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,76 +10,76 @@
 use crate::gateway::platform_interface::CallCredentials;
 use crate::gateway::platform_interface::PlatformError;
 
-/// How long before the end of a right its last call has ended: what was sent
-/// may still be on its way.
-const CALL_MARGIN: Duration = Duration::from_millis(100);
-/// The least time for a call. With less, the renewal is waited for.
-const LEAST_CALL: Duration = Duration::from_millis(150);
-/// How often a call is tried that found no connection.
-const TRIES: usize = 2;
+/// How long before the lease expires a call has to end, because a request may still be
+/// on its way.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
+/// The least time for a call. With less, the caller waits for a renewal of the lease.
+const MIN_CALL_TIME: Duration = Duration::from_millis(150);
+/// How often a call that cannot connect is attempted.
+const MAX_ATTEMPTS: usize = 2;
 
-/// A call and the right under which it is made.
+/// A call to the cloud, and the time of the lease with which it is made.
 #[derive(Clone, Debug)]
 pub struct DutyCall {
-    /// What the cloud is called with.
+    /// The credentials of the call.
     pub credentials: CallCredentials,
-    /// When the call begins, in milliseconds since 1970.
+    /// When the call began, in milliseconds since 1970.
     pub began_ms: u64,
-    /// When the right to make it ends, in milliseconds since 1970.
+    /// When the lease expires unless it is renewed, in milliseconds since 1970.
     pub lease_expires_ms: u64,
 }
 
 impl DutyCall {
-    /// Returns the terms of a call that begins now, or none while this entry has
-    /// no right to make one.
+    /// Returns a call that begins now, or none if the lease is not valid for long
+    /// enough.
     fn begin(context: &GatewayContext) -> Option<Self> {
         let now = context.now();
-        let right = context.lease.lock().valid_lease(now)?;
-        let right_left = right.expires_at.since(now);
-        if right_left < CALL_MARGIN + LEAST_CALL {
+        let lease = context.lease.lock().valid_lease(now)?;
+        let lease_left = lease.expires_at.since(now);
+        if lease_left < EXPIRY_MARGIN + MIN_CALL_TIME {
             return None;
         }
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        // A clock before 1970 is broken; the log then shows the length alone.
-        let begins = since.unwrap_or_default();
+        // With a clock before 1970, the times in the log are those since the call began.
+        let began = since.unwrap_or_default();
         Some(Self {
             credentials: CallCredentials {
                 holder: context.settings.name.clone(),
-                fencing_token: right.fencing_token,
-                deadline: now.after(right_left - CALL_MARGIN),
+                fencing_token: lease.fencing_token,
+                deadline: now.after(lease_left - EXPIRY_MARGIN),
                 clock: Arc::clone(&context.clock),
             },
-            began_ms: begins.as_millis() as u64,
-            lease_expires_ms: (begins + right_left).as_millis() as u64,
+            began_ms: began.as_millis() as u64,
+            lease_expires_ms: (began + lease_left).as_millis() as u64,
         })
     }
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug)]
 pub struct CallOutcome {
-    /// The last try.
+    /// The last attempt.
     pub call: DutyCall,
     /// Its result.
     pub result: Result<(), PlatformError>,
 }
 
-/// Makes a call, if this entry has the right to. One that found no connection is
-/// made again, under the right that there is then.
+/// Makes a call, if this entry holds a valid lease. Retries a call that could not
+/// connect, with the lease as it is by then.
 pub async fn call_cloud<'a>(
     context: &'a GatewayContext,
-    make: impl Fn(&CallCredentials) -> BoxFuture<'a, Result<(), PlatformError>>,
+    send: impl Fn(&CallCredentials) -> BoxFuture<'a, Result<(), PlatformError>>,
 ) -> Option<CallOutcome> {
-    let _turn = context.cloud_call_lock.lock().await;
+    let _guard = context.cloud_call_lock.lock().await;
     let mut outcome = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let Some(call) = DutyCall::begin(context) else {
             break;
         };
-        let result = make(&call.credentials).await;
+        let result = send(&call.credentials).await;
         let is_sent = !matches!(result, Err(PlatformError::NotSent(_)));
         if let Err(PlatformError::OutcomeUnknown(_)) = result {
-            context.note_unanswered_call(call.credentials.deadline.after(CALL_MARGIN));
+            context.note_unanswered_call(call.credentials.deadline.after(EXPIRY_MARGIN));
         }
         outcome = Some(CallOutcome { call, result });
         if is_sent {
--- a/lib/src/gateway/duty_log.rs
+++ b/lib/src/gateway/duty_log.rs
@@ -1,7 +1,7 @@
-//! Reads and appends the records of the duties' topic.
+//! Reads and appends the records of the topic [`LogTopic::Duties`].
 //!
-//! One call at a time: each append is made on the condition that the topic ends
-//! where this entry knows it to end.
+//! Calls are made one at a time, because the store appends a record only if the topic
+//! ends where this entry expects it to end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,9 +24,9 @@
 ///
 /// # Errors
 ///
-/// The store did not answer, or refused.
+/// The store did not respond, or refused.
 pub async fn read_duties(context: &Arc<GatewayContext>) -> Result<(), PlatformError> {
-    let _turn = context.lease_call_lock.lock().await;
+    let _guard = context.lease_call_lock.lock().await;
     read_to_end(context).await
 }
 
@@ -42,7 +42,7 @@
                 context.lease.lock().skip_to(now, first);
                 continue;
             }
-            // The topic is shorter than it was: the store is another copy.
+            // The topic is shorter than before: the store was restored from a copy.
             Err(PlatformError::OffsetOutOfRange(_)) if from > LogOffset(0) => {
                 context.lease.lock().restart_reading(now);
                 continue;
@@ -50,10 +50,10 @@
             Err(error) => return Err(error),
         };
         context.note_store_response();
-        let mut duties = context.lease.lock();
-        duties.note_generation(now, slice.generation);
-        let was_restarted = duties.next_offset() < from;
-        drop(duties);
+        let mut lease = context.lease.lock();
+        lease.note_generation(now, slice.generation);
+        let was_restarted = lease.next_offset() < from;
+        drop(lease);
         if was_restarted {
             continue;
         }
@@ -76,7 +76,7 @@
                 context.lease.lock().note_read(now, record.offset, decoded);
             }
             Err(error) => {
-                warn!(context.log, "duty's record refused"; "offset" => record.offset.0,
+                warn!(context.log, "duty record refused"; "offset" => record.offset.0,
                     "error" => %error);
                 let next = LogOffset(record.offset.0 + 1);
                 context.lease.lock().skip_to(now, next);
@@ -85,19 +85,19 @@
     }
 }
 
-/// Claims the lease, if the topic has no record beyond those by which `allows`
-/// found that this entry may.
+/// Reads the topic to its end and then claims the lease, if `may_claim` still allows
+/// it.
 ///
 /// # Errors
 ///
-/// The store did not answer or refused, or another entry appended first.
+/// The store did not respond or refused, or another entry appended first.
 pub async fn append_claim(
     context: &Arc<GatewayContext>,
-    allows: impl Fn() -> bool,
+    may_claim: impl Fn() -> bool,
 ) -> Result<Option<AppendPosition>, PlatformError> {
-    let _turn = context.lease_call_lock.lock().await;
+    let _guard = context.lease_call_lock.lock().await;
     read_to_end(context).await?;
-    if !allows() {
+    if !may_claim() {
         return Ok(None);
     }
     let record = context
@@ -107,44 +107,46 @@
     append_record(context, record).await.map(Some)
 }
 
-/// Appends what `build` makes of this entry's tenure, while it holds the lease.
+/// Appends the record that `build` returns for this entry's tenure, if this entry
+/// holds the lease.
 ///
 /// # Errors
 ///
-/// The store did not answer or refused, another entry appended first, or this
-/// entry does not hold the lease.
+/// The store did not respond or refused, another entry appended first, or this entry
+/// does not hold the lease.
 pub async fn append_duty(
     context: &Arc<GatewayContext>,
     build: impl FnOnce(TenureInfo) -> DutyRecord,
 ) -> Result<(), PlatformError> {
-    let _turn = context.lease_call_lock.lock().await;
+    let _guard = context.lease_call_lock.lock().await;
     let successors = choose_successors(context);
-    let mark = context.lease.lock().own_tenure(context.now(), successors);
-    let not_held =
-        || PlatformError::NotApplied("the lease is not held, or not yet again".to_owned());
-    let record = build(mark.ok_or_else(not_held)?);
+    let tenure = context.lease.lock().own_tenure(context.now(), successors);
+    let not_held = || {
+        PlatformError::NotApplied("the lease is not held, or has to be claimed again".to_owned())
+    };
+    let record = build(tenure.ok_or_else(not_held)?);
     let appended = append_record(context, record).await;
     if let Err(PlatformError::Conflict(_)) = &appended {
-        // Another entry appended, or an append of this one was done without an
-        // answer.
+        // Another entry appended a record, or an earlier append of this entry took
+        // effect without a response.
         read_to_end(context).await?;
     }
     appended.map(drop)
 }
 
-/// Appends that this entry has ended its last call of a tenure, which it has
-/// given up.
+/// Appends that a tenure that this entry gave up is over, so that it makes no more
+/// calls under it.
 ///
 /// # Errors
 ///
-/// The store did not answer or refused, or another entry appended first.
+/// The store did not respond or refused, or another entry appended first.
 pub async fn append_release(
     context: &Arc<GatewayContext>,
     tenure: TenureInfo,
 ) -> Result<(), PlatformError> {
-    let _turn = context.lease_call_lock.lock().await;
-    let is_last = context.lease.lock().is_latest_tenure(&tenure);
-    if !is_last {
+    let _guard = context.lease_call_lock.lock().await;
+    let is_latest = context.lease.lock().is_latest_tenure(&tenure);
+    if !is_latest {
         return Err(PlatformError::Fenced);
     }
     append_record(context, DutyRecord::Release { tenure })
@@ -159,9 +161,9 @@
     let value =
         serde_json::to_vec(&record).map_err(|e| PlatformError::NotApplied(e.to_string()))?;
     let end = {
-        let mut duties = context.lease.lock();
-        duties.note_sent(&record);
-        duties.next_offset()
+        let mut lease = context.lease.lock();
+        lease.note_sent(&record);
+        lease.next_offset()
     };
     let sent_at = context.now();
     let store = &context.platform.store;
@@ -169,20 +171,21 @@
         .append(LogTopic::Duties, None, Bytes::from(value), Some(end))
         .await;
     let now = context.now();
-    let mut duties = context.lease.lock();
+    let mut lease = context.lease.lock();
     match &appended {
         Ok(done) => {
-            duties.note_appended(now, sent_at, done.generation, done.offset, record);
-            drop(duties);
+            lease.note_appended(now, sent_at, done.generation, done.offset, record);
+            drop(lease);
             context.note_store_response();
         }
-        Err(PlatformError::OutcomeUnknown(_)) => duties.note_claim_unanswered(),
-        Err(_) => duties.note_claim_rejected(),
+        Err(PlatformError::OutcomeUnknown(_)) => lease.note_claim_unanswered(),
+        Err(_) => lease.note_claim_rejected(),
     }
     appended
 }
 
-/// Returns the entries that are to come next: the hubs, who know the usage.
+/// Returns the entries that may claim the lease next: the hubs, which have the request
+/// counts of all entries.
 pub fn choose_successors(context: &GatewayContext) -> Vec<EntryName> {
     let mut names = context.peers.lock().hub_names(context.now());
     names.truncate(HUB_COUNT);
--- a/lib/src/gateway/duty_record.rs
+++ b/lib/src/gateway/duty_record.rs
@@ -1,7 +1,7 @@
-//! The records of the duties' topic, in the order of the store.
+//! The records of the topic `LogTopic::Duties`.
 //!
-//! Every record tells under which tenure it was written: stores keep a topic's
-//! history for seconds only, so that a reader may find any part of it.
+//! Every record names the tenure in which it was written. The store keeps records for
+//! seconds only, so a reader may not find the claim of the tenure.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,77 +14,78 @@
 use crate::id::Incarnation;
 use crate::id::StoreGeneration;
 
-/// One entry's time as the holder, from its claim on.
+/// The tenure of one entry as the lease holder, which begins with its claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenureInfo {
     /// The holder.
     pub entry: EntryName,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The fence of its calls.
+    /// The fencing token of its calls.
     pub fence: FenceToken,
-    /// The store's generation in which it claimed. None from entries of
-    /// versions that did not know generations.
+    /// The generation of the store in which it claimed. None in records of older
+    /// versions.
     pub generation: Option<StoreGeneration>,
-    /// The entries that may claim once a short term is over; all others wait
-    /// for the long one.
+    /// The entries that may claim after the short term. All others wait for the long
+    /// term.
     pub successors: Vec<EntryName>,
-    /// Milliseconds since it claimed, by its own clock.
+    /// Milliseconds since it claimed, by its clock.
     #[serde(default)]
     pub held_ms: u64,
 }
 
-/// A record of the duties' topic.
+/// A record of the topic `LogTopic::Duties`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DutyRecord {
-    /// An entry takes the lease. Its fence follows from the record's offset.
+    /// An entry claims the lease. Its fencing token follows from the generation and the
+    /// record's offset.
     Claim {
         /// The entry.
         entry: EntryName,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// The store's generation when it claimed. The claim counts only if
-        /// the store was still in it.
+        /// The generation of the store as the entry knew it. The claim counts only if
+        /// the store was still in this generation.
         #[serde(default)]
         generation: Option<StoreGeneration>,
         /// See [`TenureInfo::successors`].
         #[serde(default)]
         successors: Vec<EntryName>,
     },
-    /// The holder goes on.
+    /// The holder renews the lease.
     Renewal {
         /// Its tenure.
         tenure: TenureInfo,
     },
-    /// The holder has ended its last call and makes no more.
+    /// The holder gave the lease up. Its last call has ended.
     Release {
         /// Its tenure.
         tenure: TenureInfo,
     },
-    /// The counts that are reported for a window.
+    /// The holder decided the counts to report for a window.
     Usage {
         /// The window.
         window: WindowNumber,
         /// The counts.
         counts: WindowCounts,
-        /// The tenure in which this was decided.
+        /// The tenure in which the holder decided.
         #[serde(default)]
         tenure: Option<TenureInfo>,
     },
-    /// What the holder knows so far of windows that are not decided yet. It is
-    /// kept for the case that all entries are lost at once.
+    /// The counts so far of windows that are not decided yet. The next holder restores
+    /// them if all entries are lost at once.
     Interim {
-        /// The counts, by window and by the life that counted.
+        /// The counts by window, and by the incarnation of the entry that counted.
         windows: IncarnationCounts,
-        /// The tenure in which this was written.
+        /// The tenure in which the holder saved them.
         #[serde(default)]
         tenure: Option<TenureInfo>,
     },
 }
 
 impl DutyRecord {
-    /// Returns the tenure that a record tells of, if it is no claim.
+    /// Returns the tenure that a record names. A claim names none.
     pub fn tenure(&self) -> Option<&TenureInfo> {
         match self {
             Self::Claim { .. } => None,
--- a/lib/src/gateway/duty_task.rs
+++ b/lib/src/gateway/duty_task.rs
@@ -1,7 +1,7 @@
-//! Carries out the duties of the lease: reports of usage, and orders of replicas.
+//! Carries out the duties of the lease holder: it reports usage and orders replicas.
 //!
-//! Each call is made under a right to act that was looked up just before it, and
-//! ends before that right does.
+//! Before each call the holder checks that its lease is valid. The call ends before
+//! the lease expires.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,100 +27,102 @@
 use crate::id::FenceToken;
 use crate::quantity::Timestamp;
 
-/// The pause between looks at what is to do.
-const DUTY_PAUSE: Duration = Duration::from_millis(250);
-/// How long after its end a window is decided: every entry has told its
-/// counts by then, several times over.
-const DECIDE_AFTER: Duration = Duration::from_millis(1_500);
-/// How many windows back are still reported. Later reports count for nothing.
-const REPORTED_WINDOWS: u64 = 2;
-/// The pause after counts of open windows could not be written.
-const INTERIM_PAUSE: Duration = Duration::from_secs(1);
+/// How often an entry checks what duties are due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long after the end of a window its counts are decided. By then every entry has
+/// sent its counts several times.
+const DECISION_DELAY: Duration = Duration::from_millis(1_500);
+/// How many of the latest closed windows are reported. The cloud ignores reports for
+/// earlier ones.
+const REPORTABLE_WINDOWS: u64 = 2;
+/// The delay after a failed append of interim counts.
+const INTERIM_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Works while this entry holds the lease.
+/// Carries out the duties while this entry holds the lease.
 pub async fn run_duties(context: Arc<GatewayContext>) {
-    let mut desk = DutyDesk::new();
+    let mut runner = DutyRunner::new();
     loop {
-        tokio::time::sleep(DUTY_PAUSE).await;
-        let right = context.lease.lock().valid_lease(context.now());
-        match right {
-            Some(right) => desk.work(&context, right).await,
-            None => desk.stand_by(&context),
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let lease = context.lease.lock().valid_lease(context.now());
+        match lease {
+            Some(lease) => runner.run_as_holder(&context, lease).await,
+            None => runner.run_as_standby(&context),
         }
     }
 }
 
-/// What the holder has done so far.
-struct DutyDesk {
-    /// The fence under which the holder works.
-    fence: Option<FenceToken>,
+/// The state of the duties under one fencing token.
+struct DutyRunner {
+    /// The fencing token of the tenure to which this state belongs.
+    fencing_token: Option<FenceToken>,
     reported: BTreeSet<WindowNumber>,
-    /// What was last written of windows that are not decided.
+    /// The last saved counts of windows that are not decided yet.
     interim: IncarnationCounts,
-    /// When that is written again at the earliest.
-    interim_due: Timestamp,
-    replicas: ReplicaScaler,
-    fatal: FatalSync,
+    /// After a failure, the earliest time at which interim counts are saved again.
+    interim_retry_at: Timestamp,
+    replica_scaler: ReplicaScaler,
+    fatal_sync: FatalSync,
 }
 
-impl DutyDesk {
+impl DutyRunner {
     fn new() -> Self {
         Self {
-            fence: None,
+            fencing_token: None,
             reported: BTreeSet::new(),
             interim: IncarnationCounts::new(),
-            interim_due: Timestamp(0),
-            replicas: ReplicaScaler::new(),
-            fatal: FatalSync::default(),
+            interim_retry_at: Timestamp(0),
+            replica_scaler: ReplicaScaler::new(),
+            fatal_sync: FatalSync::default(),
         }
     }
 
-    /// Begins as a new holder, with the plans made while it stood by.
-    fn begin(&mut self, fence: FenceToken) {
-        self.fence = Some(fence);
+    /// Starts a new tenure. It keeps the replica plans made as a standby.
+    fn reset(&mut self, fencing_token: FenceToken) {
+        self.fencing_token = Some(fencing_token);
         self.reported.clear();
         self.interim.clear();
-        self.fatal.reset();
-        self.replicas.forget_orders();
+        self.fatal_sync.reset();
+        self.replica_scaler.forget_orders();
     }
 
-    /// Plans along, if this entry is among those that claim the lease.
-    fn stand_by(&mut self, context: &GatewayContext) {
+    /// Keeps the replica plans up to date, if this entry is a hub and so may claim the
+    /// lease.
+    fn run_as_standby(&mut self, context: &GatewayContext) {
         let rank = context.peers.lock().hub_rank(context.now());
         if rank < HUB_COUNT {
-            self.replicas.plan_as_standby(context);
+            self.replica_scaler.plan_as_standby(context);
         }
     }
 
-    async fn work(&mut self, context: &Arc<GatewayContext>, right: ValidLease) {
-        if self.fence != Some(right.fencing_token) {
-            self.begin(right.fencing_token);
+    async fn run_as_holder(&mut self, context: &Arc<GatewayContext>, lease: ValidLease) {
+        if self.fencing_token != Some(lease.fencing_token) {
+            self.reset(lease.fencing_token);
         }
-        let reported = self.report(context).await;
-        // Orders do not need the store, and go on when it takes no decision.
-        let ordered = self.replicas.order(context).await;
+        let reported = self.report_windows(context).await;
+        // Orders do not need the store, so they continue when a report fails.
+        let ordered = self.replica_scaler.order(context).await;
         if let (Err(PlatformError::Fenced), _) | (_, Err(PlatformError::Fenced)) =
             (reported, ordered)
         {
             give_up(context, "fenced");
             return;
         }
-        self.keep_interim(context).await;
+        self.save_interim(context).await;
         if context.lease.lock().valid_lease(context.now()).is_some() {
-            self.fatal.sync(context).await;
+            self.fatal_sync.sync(context).await;
         }
     }
 
-    async fn report(&mut self, context: &Arc<GatewayContext>) -> Result<(), PlatformError> {
+    async fn report_windows(&mut self, context: &Arc<GatewayContext>) -> Result<(), PlatformError> {
         let current = context.usage_window();
-        let oldest = current.saturating_sub(REPORTED_WINDOWS);
+        let oldest = current.saturating_sub(REPORTABLE_WINDOWS);
         self.reported.retain(|window| *window >= oldest);
         for window in oldest..current {
             if self.reported.contains(&window) || !is_decidable(context, window) {
                 continue;
             }
             if let Err(error) = report_window(context, window).await {
-                warn!(context.log, "duty failed"; "error" => %error);
+                warn!(context.log, "usage report failed"; "error" => %error);
                 return Err(error);
             }
             self.reported.insert(window);
@@ -128,31 +130,31 @@
         Ok(())
     }
 
-    /// Writes what is known of windows that are not decided, if it has changed.
-    /// Whoever holds the lease after all entries were lost at once begins with it.
-    async fn keep_interim(&mut self, context: &Arc<GatewayContext>) {
+    /// Saves the counts of windows that are not decided yet, if they changed. If all
+    /// entries are lost at once, the next holder restores these counts.
+    async fn save_interim(&mut self, context: &Arc<GatewayContext>) {
         let oldest = context.usage_window().saturating_sub(1);
         let mut windows = context.usage.lock().since(oldest);
         windows.retain(|window, _| !self.reported.contains(window));
-        if context.now() < self.interim_due || windows == self.interim {
+        if context.now() < self.interim_retry_at || windows == self.interim {
             return;
         }
-        let written = windows.clone();
+        let saved = windows.clone();
         let appended = append_duty(context, |tenure| DutyRecord::Interim {
             windows,
             tenure: Some(tenure),
         });
         match appended.await {
-            Ok(()) => self.interim = written,
-            // Reports and orders must not wait for a store that is away.
-            Err(_) => self.interim_due = context.now().after(INTERIM_PAUSE),
+            Ok(()) => self.interim = saved,
+            // Reports and orders must not wait for a store that is unreachable.
+            Err(_) => self.interim_retry_at = context.now().after(INTERIM_RETRY_DELAY),
         }
     }
 }
 
 fn is_decidable(context: &GatewayContext, window: WindowNumber) -> bool {
     let length = context.settings.bounds.usage_window_s;
-    let end = Duration::from_secs((window + 1) * length) + DECIDE_AFTER;
+    let end = Duration::from_secs((window + 1) * length) + DECISION_DELAY;
     let now = std::time::SystemTime::now().duration_since(std::time::SystemTime::UNIX_EPOCH);
     now.is_ok_and(|now| now >= end)
 }
@@ -163,19 +165,25 @@
 ) -> Result<(), PlatformError> {
     let counts = decide_window(context, window).await?;
     let cloud = &context.platform.cloud;
-    let made = call_cloud(context, |terms| cloud.report_usage(terms, window, &counts)).await;
-    let Some(CallOutcome { call, result }) = made else {
-        return Err(PlatformError::NotApplied("no right to act".to_owned()));
+    let outcome = call_cloud(context, |credentials| {
+        cloud.report_usage(credentials, window, &counts)
+    })
+    .await;
+    let Some(CallOutcome { call, result }) = outcome else {
+        return Err(PlatformError::NotApplied(
+            "the lease is not valid".to_owned(),
+        ));
     };
-    info!(context.log, "usage reported"; "window" => window, "fence" => call.credentials.fencing_token.0,
+    info!(context.log, "usage reported"; "window" => window,
+        "fence" => call.credentials.fencing_token.0,
         "began_ms" => call.began_ms, "right_until_ms" => call.lease_expires_ms,
         "requests" => counts.values().sum::<u64>(),
         "error" => result.as_ref().err().map(ToString::to_string));
     result
 }
 
-/// Returns the counts that are reported for a window. They are in the log before
-/// anybody reports them, so that each holder reports the same.
+/// Returns the counts to report for a window. They are appended to the log before any
+/// holder reports them, so that all holders report the same counts.
 async fn decide_window(
     context: &Arc<GatewayContext>,
     window: WindowNumber,
@@ -192,7 +200,7 @@
         counts,
         tenure: Some(tenure),
     });
-    // What was read after a conflict may have the decision.
+    // After a conflict, the records that were read may contain the decision.
     let result = appended.await;
     decided().ok_or_else(|| {
         let undecided = PlatformError::NotApplied("the window is undecided".to_owned());
--- a/lib/src/gateway/lease_task.rs
+++ b/lib/src/gateway/lease_task.rs
@@ -1,7 +1,7 @@
-//! Takes the lease of the duties when nobody may hold it, and keeps it.
+//! Claims the lease when no other entry can hold it, and renews it.
 //!
-//! Apart from the duties themselves: calls to a slow cloud must not delay a
-//! renewal.
+//! The duties of the holder run in a task of their own, so that calls to a slow cloud
+//! do not delay a renewal.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,35 +23,36 @@
 use crate::id::FenceToken;
 use crate::quantity::Timestamp;
 
-/// The pause between looks at the lease.
-const KEEP_PAUSE: Duration = Duration::from_millis(100);
-/// The pause after a call to the store that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(250);
-/// How long the store may not answer the holder, while it answers others, before
-/// one of these takes its place.
-const STORE_PATIENCE: Duration = Duration::from_millis(1_500);
-/// How much later than this entry others must have heard from the store to show
-/// that it answers them.
-const OTHERS_LEAD: Duration = Duration::from_millis(800);
-/// How long an entry that could not read the store lets others claim first.
-const CLAIM_PAUSE: Duration = Duration::from_millis(1_500);
-/// How long the holder may not be among the hubs before it gives the lease up:
-/// entries tell their counts to hubs only.
-const HUB_PATIENCE: Duration = Duration::from_millis(2_000);
-/// A look that comes so late shows that the process stood still.
-const FROZEN_AFTER: Duration = Duration::from_millis(1_000);
+/// How often an entry checks what to do about the lease.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The delay after a failed call to the store.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// The holder gives the lease up when the store has not responded to it for so long
+/// but responds to others.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The store responds to others if their last response is at least this much newer
+/// than that of this entry.
+const MIN_PEER_LEAD: Duration = Duration::from_millis(800);
+/// How long an entry whose claim failed lets others claim first.
+const CLAIM_BACK_OFF: Duration = Duration::from_millis(1_500);
+/// The holder gives the lease up when it has not been a hub, or reached no other
+/// entry, for so long. Entries send their request counts to hubs only.
+const HUB_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// A check that comes this late shows that the process was frozen.
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// Why a right to act ended unrenewed.
+/// Why the lease ended without this entry giving it up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LapseCause {
-    /// Another entry claimed.
+    /// Another entry claimed it.
     Replaced,
-    /// This process stood still.
+    /// This process was frozen.
     Frozen,
-    /// The store did not take a renewal in time, and not all successors promised.
-    StoreSilent,
-    /// The store came back from an older copy.
-    StoreReturned,
+    /// The store accepted no renewal in time, and not all successors promised not to
+    /// claim.
+    StoreUnreachable,
+    /// The store was restored from an older copy.
+    StoreRestored,
 }
 
 impl LapseCause {
@@ -59,59 +60,64 @@
         match self {
             Self::Replaced => "replaced",
             Self::Frozen => "frozen",
-            Self::StoreSilent => "store_silent",
-            Self::StoreReturned => "store_returned",
+            Self::StoreUnreachable => "store_silent",
+            Self::StoreRestored => "store_returned",
         }
     }
 }
 
-/// What this entry did about the lease so far.
+/// Decides what this entry does about the lease.
 #[derive(Debug, Default)]
-struct LeaseKeeper {
-    /// Whether it had a right to act at the last look.
-    had_right: bool,
-    /// Since when this process has not stood still.
-    awake_since: Timestamp,
-    /// Whether it has just stood still.
+struct LeaseController {
+    /// Whether its lease was valid at the last check.
+    was_valid: bool,
+    /// Since when the process has run without a freeze.
+    running_since: Timestamp,
+    /// Whether the process was frozen just before this check.
     was_frozen: bool,
-    /// Whether it heard other entries since it claimed.
-    heard_others: bool,
-    /// Since when it has heard none of them.
-    alone_since: Option<Timestamp>,
-    /// Since when it has not been among the hubs.
-    no_hub_since: Option<Timestamp>,
+    /// Whether it received gossip from other entries since it claimed.
+    had_peers: bool,
+    /// Since when it has received none.
+    isolated_since: Option<Timestamp>,
+    /// Since when it has not been a hub.
+    not_hub_since: Option<Timestamp>,
 }
 
 /// What to do about the lease next.
 enum LeaseStep {
     Renew,
+    /// Claim the own lease again, in a new generation of the store.
     Reclaim,
+    /// Give the lease up for a cause, and append a record so that a successor can
+    /// claim it at once.
     Release(&'static str),
+    /// Give the lease up for a cause, without a record.
     GiveUp(&'static str),
+    /// Claim the lease as the hub of a rank.
     Claim(usize),
     Read,
     Wait,
 }
 
-/// Takes and keeps the lease until the entry stops.
+/// Claims, renews and gives up the lease until the entry stops.
 pub async fn maintain_lease(context: Arc<GatewayContext>) {
-    let mut keeper = LeaseKeeper::default();
+    let mut controller = LeaseController::default();
     loop {
-        let rested_at = context.now();
-        tokio::time::sleep(KEEP_PAUSE).await;
-        keeper.note_rest(context.now().since(rested_at), context.now());
-        keeper.note_lapse(&context);
-        match keeper.next_step(&context) {
+        let slept_at = context.now();
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        controller.note_sleep(context.now().since(slept_at), context.now());
+        controller.report_lapse(&context);
+        match controller.next_step(&context) {
             LeaseStep::Renew => renew(&context).await,
             LeaseStep::Reclaim => {
-                let may = || context.lease.lock().may_reclaim(context.now());
-                claim(&context, may).await;
+                let may_claim = || context.lease.lock().may_reclaim(context.now());
+                claim(&context, may_claim).await;
             }
             LeaseStep::Release(cause) => release(&context, cause).await,
             LeaseStep::GiveUp(cause) => give_up(&context, cause),
             LeaseStep::Claim(rank) => {
-                let may = || context.lease.lock().may_claim(context.now(), rank);
-                claim(&context, may).await;
+                let may_claim = || context.lease.lock().may_claim(context.now(), rank);
+                claim(&context, may_claim).await;
             }
             LeaseStep::Read => read(&context).await,
             LeaseStep::Wait => {}
@@ -119,61 +125,62 @@
     }
 }
 
-impl LeaseKeeper {
-    /// Notes how long a pause took that should be short.
-    fn note_rest(&mut self, length: Duration, now: Timestamp) {
-        self.was_frozen = length > FROZEN_AFTER;
+impl LeaseController {
+    /// Detects a freeze of the process by how long a short sleep took.
+    fn note_sleep(&mut self, slept: Duration, now: Timestamp) {
+        self.was_frozen = slept > FREEZE_THRESHOLD;
         if self.was_frozen {
-            self.awake_since = now;
+            self.running_since = now;
         }
     }
 
-    /// Returns whether this entry, as the holder, has lost all others that it
-    /// heard: they may go on without it, and only tell each other their counts.
-    fn is_cut_off(&mut self, now: Timestamp, hears_others: bool) -> bool {
-        self.heard_others |= hears_others;
-        self.alone_since = match hears_others {
+    /// Returns whether this entry, as the holder, no longer receives gossip from any
+    /// other entry. The others may still send each other the request counts that the
+    /// holder needs.
+    fn check_isolation(&mut self, now: Timestamp, has_peers: bool) -> bool {
+        self.had_peers |= has_peers;
+        self.isolated_since = match has_peers {
             true => None,
-            false => self.alone_since.or(Some(now)),
+            false => self.isolated_since.or(Some(now)),
         };
-        let since = self.alone_since.filter(|_| self.heard_others);
-        since.is_some_and(|since| now.since(since) >= HUB_PATIENCE)
+        let since = self.isolated_since.filter(|_| self.had_peers);
+        since.is_some_and(|since| now.since(since) >= HUB_TIMEOUT)
     }
 
-    /// Tells whether a right to act has ended unrenewed since the last look.
-    fn note_lapse(&mut self, context: &GatewayContext) {
+    /// Logs and counts that the lease lapsed since the last check.
+    fn report_lapse(&mut self, context: &GatewayContext) {
         let now = context.now();
-        let mut duties = context.lease.lock();
-        let ended = duties.take_ended();
-        let has_right = duties.valid_lease(now).is_some();
-        let has_to_reclaim = duties.must_reclaim();
-        drop(duties);
-        let lapsed = self.had_right && !has_right && ended != Some(TenureEnd::GivenUp);
-        let cause = match ended {
+        let mut lease = context.lease.lock();
+        let tenure_end = lease.take_tenure_end();
+        let is_valid = lease.valid_lease(now).is_some();
+        let must_reclaim = lease.must_reclaim();
+        drop(lease);
+        let lapsed = self.was_valid && !is_valid && tenure_end != Some(TenureEnd::GivenUp);
+        let cause = match tenure_end {
             Some(TenureEnd::Replaced) => LapseCause::Replaced,
             _ if self.was_frozen => LapseCause::Frozen,
-            _ if has_to_reclaim => LapseCause::StoreReturned,
-            _ => LapseCause::StoreSilent,
+            _ if must_reclaim => LapseCause::StoreRestored,
+            _ => LapseCause::StoreUnreachable,
         };
         if lapsed {
             counter!("cloverbend_lease_lapses_total", "cause" => cause.label()).increment(1);
             warn!(context.log, "lease lapsed"; "cause" => cause.label());
         }
-        self.had_right = has_right;
+        self.was_valid = is_valid;
     }
 
     fn next_step(&mut self, context: &GatewayContext) -> LeaseStep {
         let now = context.now();
         let view = PeerView::of(context, now);
-        self.no_hub_since = if view.is_hub() {
+        self.not_hub_since = if view.is_hub() {
             None
         } else {
-            self.no_hub_since.or(Some(now))
+            self.not_hub_since.or(Some(now))
         };
         if context.lease.lock().is_holder() {
             return self.holder_step(context, now, view);
         }
-        self.heard_others = false;
+        self.had_peers = false;
         candidate_step(context, now, view)
     }
 
@@ -183,45 +190,45 @@
         now: Timestamp,
         view: PeerView,
     ) -> LeaseStep {
-        let is_cut_off = self.is_cut_off(now, view.hears_others);
+        let is_isolated = self.check_isolation(now, view.has_peers);
         if context.is_draining() {
             return LeaseStep::Release("leaving");
         }
         if self
-            .no_hub_since
-            .is_some_and(|since| now.since(since) >= HUB_PATIENCE)
+            .not_hub_since
+            .is_some_and(|since| now.since(since) >= HUB_TIMEOUT)
         {
             return LeaseStep::Release("not_a_hub");
         }
-        if is_cut_off {
+        if is_isolated {
             return LeaseStep::Release("cut_off");
         }
-        let is_awake = now.since(self.awake_since) >= STORE_PATIENCE;
-        if is_awake && is_store_lost(context) {
+        let ran_long_enough = now.since(self.running_since) >= STORE_TIMEOUT;
+        if ran_long_enough && is_store_unreachable(context) {
             return LeaseStep::GiveUp("store_silent");
         }
-        let duties = context.lease.lock();
-        let own = duties.valid_lease(now).map(|right| right.fencing_token);
-        match own {
-            Some(_) if view.highest_fence > own => LeaseStep::GiveUp("another_holder"),
-            _ if duties.may_reclaim(now) => LeaseStep::Reclaim,
-            Some(_) if duties.must_reclaim() => LeaseStep::Read,
-            None if duties.must_reclaim() => LeaseStep::GiveUp("store_returned"),
-            _ if duties.should_renew(now) => LeaseStep::Renew,
+        let lease = context.lease.lock();
+        let own_token = lease.valid_lease(now).map(|lease| lease.fencing_token);
+        match own_token {
+            Some(_) if view.highest_fence > own_token => LeaseStep::GiveUp("another_holder"),
+            _ if lease.may_reclaim(now) => LeaseStep::Reclaim,
+            Some(_) if lease.must_reclaim() => LeaseStep::Read,
+            None if lease.must_reclaim() => LeaseStep::GiveUp("store_returned"),
+            _ if lease.should_renew(now) => LeaseStep::Renew,
             _ => LeaseStep::Wait,
         }
     }
 }
 
-/// What an entry that does not hold the lease does about it.
+/// Returns what an entry that does not hold the lease does next.
 fn candidate_step(context: &GatewayContext, now: Timestamp, view: PeerView) -> LeaseStep {
-    if !view.is_hub() || !view.is_listed || context.is_draining() {
+    if !view.is_hub() || !view.has_entry_list || context.is_draining() {
         return LeaseStep::Wait;
     }
-    let duties = context.lease.lock();
-    if duties.may_claim(now, view.rank) {
+    let lease = context.lease.lock();
+    if lease.may_claim(now, view.rank) {
         LeaseStep::Claim(view.rank)
-    } else if duties.should_read(now, view.rank) {
+    } else if lease.should_read(now, view.rank) {
         LeaseStep::Read
     } else {
         LeaseStep::Wait
@@ -231,14 +238,14 @@
 /// What an entry knows of the others when it decides about the lease.
 #[derive(Clone, Copy, Debug)]
 struct PeerView {
-    /// How many entries that may be hubs come before it.
+    /// Its rank as a hub: 0 for the first hub.
     rank: usize,
-    /// The highest fence that another entry tells.
+    /// The highest fencing token that another entry advertises.
     highest_fence: Option<FenceToken>,
-    /// Whether it has read which other entries there are.
-    is_listed: bool,
-    /// Whether any other entry tells it news.
-    hears_others: bool,
+    /// Whether it has read the list of entries.
+    has_entry_list: bool,
+    /// Whether it receives gossip from any other entry.
+    has_peers: bool,
 }
 
 impl PeerView {
@@ -247,8 +254,8 @@
         Self {
             rank: peers.hub_rank(now),
             highest_fence: peers.highest_fence(now),
-            is_listed: peers.is_list_read(),
-            hears_others: peers.direct_entry_counts(now).reachable > 1,
+            has_entry_list: peers.is_list_read(),
+            has_peers: peers.direct_entry_counts(now).reachable > 1,
         }
     }
 
@@ -257,12 +264,12 @@
     }
 }
 
-/// Returns whether the store answers other entries and not this one.
-fn is_store_lost(context: &GatewayContext) -> bool {
+/// Returns whether the store responds to other entries and not to this one.
+fn is_store_unreachable(context: &GatewayContext) -> bool {
     let silence = context.since_store_response();
     let confirmed_at = context.config.lock().confirmed_at();
     let age = confirmed_at.map(|at| context.now().since(at));
-    silence >= STORE_PATIENCE && age.is_some_and(|age| age + OTHERS_LEAD < silence)
+    silence >= STORE_TIMEOUT && age.is_some_and(|age| age + MIN_PEER_LEAD < silence)
 }
 
 async fn renew(context: &Arc<GatewayContext>) {
@@ -282,19 +289,19 @@
 ) {
     if let Err(error) = result {
         info!(context.log, "lease call failed"; "call" => call, "error" => %error);
-        tokio::time::sleep(FAILURE_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 async fn release(context: &Arc<GatewayContext>, cause: &'static str) {
     let successors = choose_successors(context);
-    let mark = context.lease.lock().own_tenure(context.now(), successors);
+    let tenure = context.lease.lock().own_tenure(context.now(), successors);
     give_up(context, cause);
-    let Some(tenure) = mark else {
+    let Some(tenure) = tenure else {
         return;
     };
-    // A call that is under way may still arrive, and so may one without an answer.
-    // Others then wait as if nothing had been released.
+    // A call to the cloud that is under way or got no response may still take effect.
+    // In that case the lease is not released, and others wait for its full term.
     drop(context.cloud_call_lock.lock().await);
     if context.has_pending_call() {
         return;
@@ -303,50 +310,51 @@
     pause_after_failure(context, "release", released).await;
 }
 
-/// Gives the lease up.
+/// Gives the lease up and logs the cause.
 pub fn give_up(context: &GatewayContext, cause: &str) {
     context.lease.lock().give_up(context.now());
     info!(context.log, "lease given up"; "cause" => cause);
 }
 
 async fn claim(context: &Arc<GatewayContext>, may_claim: impl Fn() -> bool) {
-    let before = KnownHolder::of(context);
+    let former = FormerHolder::of(context);
     match append_claim(context, may_claim).await {
         Ok(None) => {}
         Ok(Some(_)) => {
-            let right = context.lease.lock().valid_lease(context.now());
-            let fence = right.map(|right| right.fencing_token.0);
+            let lease = context.lease.lock().valid_lease(context.now());
+            let fence = lease.map(|lease| lease.fencing_token.0);
             counter!("cloverbend_lease_claims_total").increment(1);
             info!(context.log, "lease claimed"; "fence" => fence,
-                "former_holder" => before.name, "former_sign_age_ms" => before.age_ms);
+                "former_holder" => former.name, "former_sign_age_ms" => former.age_ms);
         }
         Err(PlatformError::Conflict(_)) => {
             info!(context.log, "lease not claimed"; "error" => "another entry appended first");
         }
         Err(error) => {
             warn!(context.log, "lease not claimed"; "error" => %error);
-            // Another entry that reaches the store comes first next time.
+            // An entry that reaches the store shall claim first.
             let now = context.now();
-            context.lease.lock().stand_back(now, CLAIM_PAUSE);
+            context.lease.lock().defer_claim(now, CLAIM_BACK_OFF);
         }
     }
 }
 
-/// Tells an operator whether a claim met a holder that may still act.
+/// The holder before a claim, and how long ago it was last seen. The log shows by it
+/// whether a claim came while the former lease could still be valid.
 #[derive(Debug, Default)]
-struct KnownHolder {
+struct FormerHolder {
     name: Option<String>,
     age_ms: Option<u64>,
 }
 
-impl KnownHolder {
+impl FormerHolder {
     fn of(context: &GatewayContext) -> Self {
         let now = context.now();
-        let duties = context.lease.lock();
-        let known = duties.known_holder();
-        known.map_or_else(Self::default, |(mark, last_sign_at)| Self {
-            name: Some(mark.entry.to_string()),
-            age_ms: Some(now.since(last_sign_at).as_millis() as u64),
+        let lease = context.lease.lock();
+        let known = lease.known_holder();
+        known.map_or_else(Self::default, |(tenure, seen_at)| Self {
+            name: Some(tenure.entry.to_string()),
+            age_ms: Some(now.since(seen_at).as_millis() as u64),
         })
     }
 }
--- a/lib/src/gateway/lease_timings.rs
+++ b/lib/src/gateway/lease_timings.rs
@@ -1,33 +1,32 @@
-//! How long rights of the lease of duties hold, and how long entries wait.
+//! How long the lease is valid, and how long entries wait before they claim it.
 
 use std::time::Duration;
 
-/// Parts of a whole in [`LeaseTimings::drift_percent`].
+/// The whole of which [`LeaseTimings::drift_percent`] is a part.
 const PERCENT: u32 = 100;
 
-/// How long rights hold, and how long entries wait.
+/// How long the lease is valid, and how long entries wait before they claim it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimings {
-    /// How long a record, or the promises of all successors, let the holder act.
+    /// How long a record, or the promises of all successors, make the lease valid.
     pub short_term: Duration,
-    /// How long promises let the holder act beyond its newest record.
+    /// How long after the newest record promises can keep the lease valid.
     pub long_term: Duration,
-    /// How much longer others wait, in hundredths, for clocks that do not run
-    /// at the same rate.
+    /// How much longer than a term other entries wait, in percent of the term, since
+    /// clocks do not run at the same rate.
     pub drift_percent: u32,
-    /// How much longer each further entry waits, so that one claims alone.
+    /// How much longer than the hub before it each hub waits, so that only one claims.
     pub rank_step: Duration,
-    /// How long an entry that was replaced as the holder does not claim.
+    /// How long a former holder does not claim again.
     pub cooldown: Duration,
 }
 
 impl LeaseTimings {
-    /// Returns the terms of a deployment, where an entry that was replaced does
-    /// not claim again for `cooldown`.
+    /// Returns the timings of a deployment, with the given cooldown.
     ///
-    /// The short term lets the holder miss two renewals, half a second apart,
-    /// with a call that gets no answer between them. The long one bridges an
-    /// outage of the store of ten seconds.
+    /// In the short term the holder can miss two renewals, half a second apart, and
+    /// wait for a call without a response between them. The long term covers a store
+    /// outage of ten seconds.
     pub fn with_cooldown(cooldown: Duration) -> Self {
         Self {
             short_term: Duration::from_millis(2_000),
@@ -38,8 +37,8 @@
         }
     }
 
-    /// Returns how long others wait for a right of that length to end.
-    pub(crate) fn wait(&self, length: Duration) -> Duration {
-        length * (PERCENT + self.drift_percent) / PERCENT
+    /// Returns how long other entries wait until a term is over by any clock.
+    pub(crate) fn with_drift(&self, term: Duration) -> Duration {
+        term * (PERCENT + self.drift_percent) / PERCENT
     }
 }
