--- a/lib/src/gateway/log_budget.rs
+++ b/lib/src/gateway/log_budget.rs
@@ -1,8 +1,8 @@
-//! Keeps the volume of log lines about requests within a bound.
+//! Bounds the number of log lines about requests.
 //!
-//! Lines of one request are kept or dropped together, chosen by its
-//! identifier, so that what is kept can be followed from start to end. Lines
-//! about failures have a budget of their own and go on when others stop.
+//! All lines of one request are kept or dropped together, by a hash of its identifier, so
+//! that a request in the log can be followed from start to end. Lines about failures have
+//! a budget of their own, so that they are logged even if other lines are dropped.
 
 use std::time::Duration;
 
@@ -10,52 +10,54 @@
 
 use crate::quantity::Timestamp;
 
-/// The lines a second that one entry writes of each class: ten times what the
-/// usual load of one entry needs, and less than a hundredth of a core.
-const LINES_PER_SECOND: u32 = 300;
-/// The time over which lines are counted.
-const PERIOD: Duration = Duration::from_secs(1);
+/// The most lines of each class that an entry logs per second: ten times what the usual
+/// load of an entry needs. Logging them takes less than a hundredth of a core.
+const MAX_LINES_PER_SECOND: u32 = 300;
+/// The length of the window in which lines are counted.
+const COUNT_WINDOW: Duration = Duration::from_secs(1);
 
-/// What a line tells about a request.
+/// What a line about a request reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineClass {
-    /// A step of a request that goes well.
+    /// A step of a request that succeeds.
     Step,
-    /// Something that failed or was refused.
+    /// A failure or refusal.
     Failure,
 }
 
+/// The lines of one class in the current window.
 #[derive(Clone, Copy, Debug)]
-struct ClassUse {
-    wanted: u32,
+struct ClassBudget {
+    requested: u32,
     written: u32,
-    kept_share: f64,
+    /// The fraction of requests whose lines are kept.
+    kept_fraction: f64,
 }
 
-impl ClassUse {
-    fn start(wanted_before: u32) -> Self {
-        let share = f64::from(LINES_PER_SECOND) / f64::from(wanted_before.max(1));
+impl ClassBudget {
+    fn new(requested_before: u32) -> Self {
+        let fraction = f64::from(MAX_LINES_PER_SECOND) / f64::from(requested_before.max(1));
         Self {
-            wanted: 0,
+            requested: 0,
             written: 0,
-            kept_share: share.min(1.0),
+            kept_fraction: fraction.min(1.0),
         }
     }
 
-    fn takes(&mut self, draw: f64) -> bool {
-        self.wanted += 1;
-        let takes = draw < self.kept_share && self.written < LINES_PER_SECOND;
-        self.written += u32::from(takes);
-        takes
+    fn admit(&mut self, draw: f64) -> bool {
+        self.requested += 1;
+        let is_admitted = draw < self.kept_fraction && self.written < MAX_LINES_PER_SECOND;
+        self.written += u32::from(is_admitted);
+        is_admitted
     }
 }
 
-/// The lines of the current second.
+/// The budget of log lines about requests.
 #[derive(Clone, Debug)]
 pub struct LogBudget {
-    begun: Timestamp,
-    steps: ClassUse,
-    failures: ClassUse,
+    window_began: Timestamp,
+    steps: ClassBudget,
+    failures: ClassBudget,
     dropped: u64,
 }
 
@@ -66,34 +68,34 @@
 }
 
 impl LogBudget {
-    /// Returns a budget of which nothing is used.
+    /// Returns an unused budget.
     pub fn new() -> Self {
         Self {
-            begun: Timestamp(0),
-            steps: ClassUse::start(0),
-            failures: ClassUse::start(0),
+            window_began: Timestamp(0),
+            steps: ClassBudget::new(0),
+            failures: ClassBudget::new(0),
             dropped: 0,
         }
     }
 
-    /// Returns whether a line about a request is written.
+    /// Returns whether a line about a request is logged, and counts it.
     pub fn admit(&mut self, now: Timestamp, request: &str, class: LineClass) -> bool {
-        if now.since(self.begun) >= PERIOD {
-            self.begun = now;
-            self.steps = ClassUse::start(self.steps.wanted);
-            self.failures = ClassUse::start(self.failures.wanted);
+        if now.since(self.window_began) >= COUNT_WINDOW {
+            self.window_began = now;
+            self.steps = ClassBudget::new(self.steps.requested);
+            self.failures = ClassBudget::new(self.failures.requested);
         }
-        let number = XxHash64::oneshot(1, request.as_bytes());
-        let draw = number as f64 / u64::MAX as f64;
-        let takes = match class {
-            LineClass::Step => self.steps.takes(draw),
-            LineClass::Failure => self.failures.takes(draw),
+        let hash = XxHash64::oneshot(1, request.as_bytes());
+        let draw = hash as f64 / u64::MAX as f64;
+        let is_admitted = match class {
+            LineClass::Step => self.steps.admit(draw),
+            LineClass::Failure => self.failures.admit(draw),
         };
-        self.dropped += u64::from(!takes);
-        takes
+        self.dropped += u64::from(!is_admitted);
+        is_admitted
     }
 
-    /// Returns how many lines were dropped since the last call.
+    /// Returns how many lines were dropped since the last call of this function.
     pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
--- a/lib/src/gateway/platform_interface.rs
+++ b/lib/src/gateway/platform_interface.rs
@@ -1,7 +1,7 @@
-//! The edges of the gateway: formats, the log store and the cloud's orders.
+//! The interface to the platform: its message formats, its log store and its cloud.
 //!
-//! The gateway decides; what stands behind these traits only translates and
-//! calls. All futures end by themselves within a bounded time.
+//! The gateway makes all decisions. Implementations of these traits only translate
+//! and make calls. Every future that they return ends within a bounded time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -29,10 +29,10 @@
 use crate::id::ZoneName;
 use crate::quantity::Timestamp;
 
-/// A document that could not be decoded.
+/// Why a document could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FormatError {
-    /// What was being decoded.
+    /// The document.
     pub subject: &'static str,
     /// What is wrong with it.
     pub cause: String,
@@ -46,67 +46,67 @@
 
 impl std::error::Error for FormatError {}
 
-/// What the gateway adds to a request that it sends on.
+/// What the gateway adds to the headers of a request that it forwards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardedHead<'a> {
-    /// The only backend server that may run it.
+    /// The only backend server that may run the request.
     pub backend: &'a BackendId,
-    /// The time that is left.
+    /// The time left until the request's deadline.
     pub time_left: Duration,
-    /// The client account of the caller's key.
+    /// The client account of the caller's API key.
     pub account: Option<&'a AccountName>,
-    /// The urgency, 0 the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The last event that was received, to resume after it.
+    /// The last event received, after which the stream resumes.
     pub last_event: Option<u64>,
 }
 
-/// What a backend server's answer says of itself.
+/// The headers of a backend server's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseHead {
-    /// The request that it answers.
+    /// The identifier of the request.
     pub request_id: Option<String>,
     /// Whether the backend server certainly did not run the request.
     pub not_executed: bool,
-    /// The load of the backend server, if it tells.
+    /// The load of the backend server, if it reports it.
     pub load: Option<LoadReport>,
-    /// What else the backend server says of itself.
+    /// What else the backend server reports of itself.
     pub report: ServerReport,
-    /// How long the backend server keeps the connection when idle.
+    /// How long the backend server keeps an idle connection open.
     pub keep_alive: Option<Duration>,
 }
 
-/// The formats of requests, answers and documents.
+/// The formats of requests, responses and documents.
 pub trait PlatformFormat: Send + Sync + 'static {
-    /// Decodes the head of a caller's request.
+    /// Decodes the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// Headers that are missing or malformed.
+    /// Headers are missing or malformed.
     fn decode_call(&self, headers: &HeaderMap) -> Result<CallHead, HeadError>;
 
-    /// Sets the headers of a request that is sent on. Those that concern one
-    /// connection are already gone; the caller's key is removed here.
-    fn encode_request(&self, headers: &mut HeaderMap, terms: &ForwardedHead<'_>);
+    /// Sets the headers of a request that is forwarded, and removes the caller's API
+    /// key. Hop-by-hop headers were removed before.
+    fn encode_request(&self, headers: &mut HeaderMap, head: &ForwardedHead<'_>);
 
-    /// Decodes the head of a backend server's answer.
+    /// Decodes the headers of a backend server's response.
     fn decode_response(&self, status: http::StatusCode, headers: &HeaderMap) -> ResponseHead;
 
     /// Decodes a configuration.
     ///
     /// # Errors
     ///
-    /// A document of another form.
+    /// The document has another format.
     fn decode_config(&self, document: &[u8]) -> Result<SiteConfig, FormatError>;
 
     /// Decodes the record of a backend server.
     ///
     /// # Errors
     ///
-    /// A document of another form.
+    /// The document has another format.
     fn decode_backend(&self, id: &str, document: &[u8]) -> Result<BackendRecord, FormatError>;
 
-    /// Returns the path at which the readiness address is asked.
+    /// Returns the path of readiness checks.
     fn readiness_path(&self) -> &'static str;
 
     /// Returns the key of the configuration among the records of its topic.
@@ -118,21 +118,20 @@
 pub enum LogTopic {
     /// Keyed: the configuration that the operator publishes.
     Configuration,
-    /// Keyed: the records that backend servers keep of themselves.
+    /// Keyed: the records that backend servers write about themselves.
     Backends,
     /// Keyed: the entries, by name.
     Entries,
     /// Keyed: requests that crash the backend servers that run them, by digest.
     FatalCalls,
-    /// Not keyed: claims of the lease, and what its holders decided.
+    /// Not keyed: claims of the lease, and decisions of its holders.
     Duties,
 }
 
-/// A record of the log. Records of keyed topics have a key; without a value
-/// the key is gone.
+/// A record of the log. In keyed topics it has a key; an empty value deletes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
-    /// The position.
+    /// Its offset in the topic.
     pub offset: LogOffset,
     /// The key, in keyed topics.
     pub key: Option<String>,
@@ -140,34 +139,34 @@
     pub value: Bytes,
 }
 
-/// A contiguous part of a topic, or the newest records of a keyed one.
+/// A contiguous part of a topic, or the latest record of each key of a keyed topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogSlice {
     /// The records.
     pub records: Vec<LogRecord>,
-    /// The oldest offset that is kept.
+    /// The oldest offset that the store keeps.
     pub oldest: LogOffset,
-    /// The offset after the last record that was looked at. The store cuts
-    /// long answers, so this may lie before the end.
+    /// The offset after the last record that was read. It is less than `end` if the
+    /// store truncated a long response.
     pub read_end: LogOffset,
-    /// The offset that the next append will get.
+    /// The offset of the next append.
     pub end: LogOffset,
-    /// The store's generation in which this was read.
+    /// The generation of the store.
     pub generation: StoreGeneration,
 }
 
 /// Where a record was appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendPosition {
-    /// The position.
+    /// The offset of the record.
     pub offset: LogOffset,
-    /// The store's generation.
+    /// The generation of the store.
     pub generation: StoreGeneration,
 }
 
 impl LogSlice {
-    /// Returns whether there are records that the answer has no room for. It
-    /// proves nothing about what is newest then.
+    /// Returns whether the store truncated its response. Then the topic has newer
+    /// records than this slice.
     pub fn is_truncated(&self) -> bool {
         self.read_end < self.end
     }
@@ -176,29 +175,30 @@
 /// Why a call to the store or the cloud failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
-    /// It was refused, and certainly not done.
+    /// The call was refused and certainly had no effect.
     NotApplied(String),
     /// No connection was made, so nothing was sent.
     NotSent(String),
-    /// There was no usable answer; it may have been done, or be done later.
+    /// There was no usable response. The call may have taken effect, or may do so later.
     OutcomeUnknown(String),
-    /// The records asked for are no longer kept; the oldest kept is told.
+    /// The store does not have the requested offset. Carries the oldest offset that it
+    /// keeps.
     OffsetOutOfRange(LogOffset),
-    /// The condition did not hold; the topic ends elsewhere.
+    /// The topic does not end at the expected offset. Carries the offset of its end.
     Conflict(LogOffset),
-    /// A call with a higher fence was seen.
+    /// A call with a higher fencing token was made before.
     Fenced,
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotApplied(cause) => write!(f, "not done: {cause}"),
+            Self::NotApplied(cause) => write!(f, "not applied: {cause}"),
             Self::NotSent(cause) => write!(f, "not sent: {cause}"),
-            Self::OutcomeUnknown(cause) => write!(f, "no usable answer: {cause}"),
-            Self::OffsetOutOfRange(first) => write!(f, "the records before {first} are gone"),
+            Self::OutcomeUnknown(cause) => write!(f, "no usable response: {cause}"),
+            Self::OffsetOutOfRange(oldest) => write!(f, "the records before {oldest} are gone"),
             Self::Conflict(end) => write!(f, "the topic ends at {end}"),
-            Self::Fenced => write!(f, "a higher fence was seen"),
+            Self::Fenced => write!(f, "a call with a higher fencing token was made"),
         }
     }
 }
@@ -207,7 +207,8 @@
 
 /// The platform's log store.
 pub trait LogStore: Send + Sync + 'static {
-    /// Reads records from an offset on; waits up to `wait` for the first.
+    /// Reads records from an offset on. If there are none yet, the store delays its
+    /// response by up to `wait` until the first one is appended.
     fn read(
         &self,
         topic: LogTopic,
@@ -215,10 +216,10 @@
         wait: Duration,
     ) -> BoxFuture<'_, Result<LogSlice, PlatformError>>;
 
-    /// Reads the newest record of each key of a keyed topic.
+    /// Reads the latest record of each key of a keyed topic.
     fn read_latest(&self, topic: LogTopic) -> BoxFuture<'_, Result<LogSlice, PlatformError>>;
 
-    /// Appends one record; with `expected_end` only if the topic ends there.
+    /// Appends one record. With `expected_end`, only if the topic ends at that offset.
     fn append(
         &self,
         topic: LogTopic,
@@ -228,54 +229,54 @@
     ) -> BoxFuture<'_, Result<AppendPosition, PlatformError>>;
 }
 
-/// The number of replicas wanted of a service in one zone.
+/// An order for a number of replicas of a service in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplicaOrder {
     /// The service.
     pub service: ServiceName,
     /// The zone.
     pub zone: ZoneName,
-    /// Whether the VMs may be reclaimed.
+    /// Whether the replicas run on reclaimable VMs.
     pub reclaimable: bool,
-    /// How many there are to be.
+    /// The total number of replicas wanted.
     pub count: u32,
 }
 
-/// What a holder calls the cloud with.
+/// What a call to the cloud needs to prove that its caller holds the lease.
 #[derive(Clone, Debug)]
 pub struct CallCredentials {
-    /// The holder.
+    /// The lease holder.
     pub holder: EntryName,
-    /// Its fence.
+    /// Its fencing token.
     pub fencing_token: FenceToken,
-    /// When nothing of the call may be under way any more.
+    /// When the call has to have ended.
     pub deadline: Timestamp,
-    /// The clock of that time.
+    /// The clock of the deadline.
     pub clock: Arc<BootClock>,
 }
 
 impl CallCredentials {
-    /// Returns whether the time of the call is over.
+    /// Returns whether the deadline is over.
     pub fn is_expired(&self) -> bool {
         self.clock.left(self.deadline).is_zero()
     }
 }
 
-/// Calls that one entry at a time may make. None is repeated by itself: each try
-/// needs terms of its own.
+/// Calls to the cloud, which only the lease holder may make. Implementations do not
+/// retry: each attempt needs new credentials.
 pub trait CloudApi: Send + Sync + 'static {
-    /// Reports the requests of each account that began in a window.
+    /// Reports how many requests of each account began in a window.
     fn report_usage(
         &self,
-        terms: &CallCredentials,
+        credentials: &CallCredentials,
         window: u64,
         counts: &BTreeMap<AccountName, u64>,
     ) -> BoxFuture<'_, Result<(), PlatformError>>;
 
-    /// Orders a number of replicas.
+    /// Orders replicas.
     fn order_replicas(
         &self,
-        terms: &CallCredentials,
+        credentials: &CallCredentials,
         order: &ReplicaOrder,
     ) -> BoxFuture<'_, Result<(), PlatformError>>;
 }
--- a/lib/src/gateway/state_sizes.rs
+++ b/lib/src/gateway/state_sizes.rs
@@ -1,4 +1,4 @@
-//! Tells how much memory an entry holds, and what of its state may hold it.
+//! Reports how much memory an entry uses, and the sizes of the state that may use it.
 
 use std::io;
 use std::time::Duration;
@@ -13,84 +13,84 @@
 use crate::resident_memory::ResidentBytes;
 use crate::resident_memory::read_resident;
 
-/// The shortest time between two lines of sizes. With growth by quarters, an
-/// entry that goes from 6 MB to a limit of 512 MB writes 20 lines at most.
-const LINE_PAUSE: Duration = Duration::from_secs(10);
-/// A line is written when memory has grown by one part in this many: small
-/// enough to see where growth begins, and above the noise of the allocator.
-const GROWTH_PART: u64 = 4;
+/// The shortest time between two log lines. With a line for each growth by a quarter, an
+/// entry that grows from 6 MB to a limit of 512 MB writes at most 20 lines.
+const MIN_LINE_INTERVAL: Duration = Duration::from_secs(10);
+/// A line is logged when memory has grown by a quarter: small enough to see when growth
+/// begins, but above the noise of the allocator.
+const GROWTH_DIVISOR: u64 = 4;
 
-/// Decides when a line of sizes is written.
+/// Detects when memory has grown so much that the sizes should be logged.
 #[derive(Clone, Debug, Default)]
-pub struct GrowthWatch {
-    told: Option<(Timestamp, ResidentBytes)>,
+pub struct GrowthDetector {
+    logged: Option<(Timestamp, ResidentBytes)>,
 }
 
-impl GrowthWatch {
-    /// Returns whether a line is due, and takes it as written. The first one
-    /// always is: growth is counted from it.
-    pub fn takes(&mut self, now: Timestamp, resident: ResidentBytes) -> bool {
-        let due = self.told.is_none_or(|(told_at, told)| {
-            let grown = resident.0 >= told.0.saturating_add(told.0 / GROWTH_PART);
-            grown && now.since(told_at) >= LINE_PAUSE
+impl GrowthDetector {
+    /// Returns whether to log the sizes now, and counts further growth from them if so.
+    /// The first call always returns true.
+    pub fn detect(&mut self, now: Timestamp, resident: ResidentBytes) -> bool {
+        let due = self.logged.is_none_or(|(logged_at, logged)| {
+            let grown = resident.0 >= logged.0.saturating_add(logged.0 / GROWTH_DIVISOR);
+            grown && now.since(logged_at) >= MIN_LINE_INTERVAL
         });
         if due {
-            self.told = Some((now, resident));
+            self.logged = Some((now, resident));
         }
         due
     }
 }
 
-/// What of an entry's state may hold much memory.
+/// The sizes of the parts of an entry's state that may use much memory.
 #[derive(Clone, Copy, Debug)]
 struct StateSizes {
-    /// Bytes that wait in the links to other entries.
-    queued: usize,
-    links: usize,
-    /// Bytes of the documents that other entries may ask for.
-    kept: usize,
-    /// Bytes of the document that is on its way here.
-    arriving: usize,
+    /// Bytes that are queued for other entries.
+    queued_bytes: usize,
+    link_count: usize,
+    /// Bytes of cached documents, which other entries may request.
+    document_bytes: usize,
+    /// Bytes received so far of a document from another entry.
+    arriving_bytes: usize,
     revision: RevisionNumber,
 }
 
 impl StateSizes {
     fn of(context: &GatewayContext) -> Self {
-        let arriving = context.transfer.lock().buffered_bytes();
+        let arriving_bytes = context.transfer.lock().buffered_bytes();
         let config = context.config.lock();
         Self {
-            queued: context.links.queued_bytes(),
-            links: context.links.link_count(),
-            kept: config.cached_bytes(),
-            arriving,
+            queued_bytes: context.links.queued_bytes(),
+            link_count: context.links.link_count(),
+            document_bytes: config.cached_bytes(),
+            arriving_bytes,
             revision: config.revision(),
         }
     }
 
     fn set_gauges(&self) {
-        gauge!("cloverbend_peer_queued_bytes").set(self.queued as f64);
-        gauge!("cloverbend_peer_links").set(self.links as f64);
-        gauge!("cloverbend_config_document_bytes").set(self.kept as f64);
-        gauge!("cloverbend_config_arriving_bytes").set(self.arriving as f64);
+        gauge!("cloverbend_peer_queued_bytes").set(self.queued_bytes as f64);
+        gauge!("cloverbend_peer_links").set(self.link_count as f64);
+        gauge!("cloverbend_config_document_bytes").set(self.document_bytes as f64);
+        gauge!("cloverbend_config_arriving_bytes").set(self.arriving_bytes as f64);
         gauge!("cloverbend_config_revision").set(self.revision.0 as f64);
     }
 }
 
-/// Sets the gauges of sizes, and logs them when memory grows.
+/// Sets the gauges of the sizes, and logs the sizes when memory grows.
 #[derive(Clone, Debug, Default)]
 pub struct SizeReporter {
-    growth: GrowthWatch,
-    is_blind: bool,
+    growth_detector: GrowthDetector,
+    is_unreadable: bool,
 }
 
 impl SizeReporter {
-    /// Reports the sizes of this moment.
+    /// Reports the current sizes.
     pub fn report(&mut self, context: &GatewayContext) {
         let sizes = StateSizes::of(context);
         sizes.set_gauges();
         match read_resident() {
             Ok(resident) => self.report_resident(context, &sizes, resident),
-            Err(error) => self.note_unreadable(context, &error),
+            Err(error) => self.log_unreadable_once(context, &error),
         }
     }
 
@@ -101,18 +101,18 @@
         resident: ResidentBytes,
     ) {
         gauge!("cloverbend_resident_bytes").set(resident.0 as f64);
-        if self.growth.takes(context.now(), resident) {
+        if self.growth_detector.detect(context.now(), resident) {
             info!(context.log, "state sizes"; "resident_mb" => resident.mebibytes(),
-                "queued_bytes" => sizes.queued, "links" => sizes.links,
-                "document_bytes" => sizes.kept, "arriving_bytes" => sizes.arriving,
+                "queued_bytes" => sizes.queued_bytes, "links" => sizes.link_count,
+                "document_bytes" => sizes.document_bytes, "arriving_bytes" => sizes.arriving_bytes,
                 "revision" => sizes.revision.0);
         }
     }
 
-    /// Says once that the memory cannot be read: it stays so.
-    fn note_unreadable(&mut self, context: &GatewayContext, error: &io::Error) {
-        if !self.is_blind {
-            self.is_blind = true;
+    /// Logs that memory use cannot be read. It does so once, because that does not change.
+    fn log_unreadable_once(&mut self, context: &GatewayContext, error: &io::Error) {
+        if !self.is_unreadable {
+            self.is_unreadable = true;
             warn!(context.log, "resident memory unreadable"; "error" => %error);
         }
     }
--- a/lib/tests/test_logs.rs
+++ b/lib/tests/test_logs.rs
@@ -1,4 +1,4 @@
-//! The volume of log lines, and finding a request in them.
+//! Tests the bound on log lines, and the search for a request in a log.
 
 use cloverbend::gateway::log_budget::LineClass;
 use cloverbend::gateway::log_budget::LogBudget;
@@ -15,7 +15,7 @@
 "#;
 
 #[test]
-fn the_lines_of_a_request_are_found_in_order_and_bad_ones_named() {
+fn lines_of_a_request_are_found_in_order_and_bad_lines_reported() {
     let found = read_request_lines(TEXT, "abc");
     let lines: Vec<String> = found.lines.iter().map(ToString::to_string).collect();
     let bad: Vec<String> = found.bad.iter().map(ToString::to_string).collect();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn ten_times_the_load_writes_no_more_than_the_budget() {
+fn high_load_logs_no_more_than_the_budget() {
     let mut budget = LogBudget::new();
     let mut written = [0_u32; 2];
     let mut dropped = 0;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_is_kept_or_dropped_whole() {
+fn all_or_no_lines_of_a_request_are_kept() {
     let mut budget = LogBudget::new();
     for step in 0..1_000_u64 {
         budget.admit(
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_usual_load_is_written_whole() {
+fn all_lines_are_logged_under_the_usual_load() {
     let mut budget = LogBudget::new();
     let kept = (0..2_000_u64).filter(|step| {
         let now = Timestamp::from_millis(step * 10);
