--- a/lib/src/gateway/lease_task.rs
+++ b/lib/src/gateway/lease_task.rs
@@ -147,7 +147,7 @@
         since.is_some_and(|since| now.since(since) >= HUB_TIMEOUT)
     }
 
-    /// Logs and counts that the lease lapsed since the last check.
+    /// Logs and counts a lapse of the lease since the last check.
     fn report_lapse(&mut self, context: &GatewayContext) {
         let now = context.now();
         let mut lease = context.lease.lock();
@@ -266,10 +266,10 @@
 
 /// Returns whether the store responds to other entries and not to this one.
 fn is_store_unreachable(context: &GatewayContext) -> bool {
-    let silence = context.since_store_response();
+    let since_response = context.since_store_response();
     let confirmed_at = context.config.lock().confirmed_at();
     let age = confirmed_at.map(|at| context.now().since(at));
-    silence >= STORE_TIMEOUT && age.is_some_and(|age| age + MIN_PEER_LEAD < silence)
+    since_response >= STORE_TIMEOUT && age.is_some_and(|age| age + MIN_PEER_LEAD < since_response)
 }
 
 async fn renew(context: &Arc<GatewayContext>) {
--- a/lib/src/gateway/store_task.rs
+++ b/lib/src/gateway/store_task.rs
@@ -428,8 +428,8 @@
     }
 }
 
-/// Closes connections to earlier incarnations of a server, and cancels requests
-/// that they will never answer.
+/// Closes connections to a server that is gone, or to its earlier incarnations, and
+/// cancels requests that those will never answer.
 fn drop_stale_state(context: &GatewayContext, change: &BackendChange) {
     match change {
         BackendChange::Joined(record) => {
