--- a/lib/src/gateway/backend_pool.rs
+++ b/lib/src/gateway/backend_pool.rs
@@ -1,8 +1,7 @@
-//! Connections to backend servers: one request at a time on each.
+//! A pool of connections to backend servers, each with one request at a time.
 //!
-//! A connection is kept for another request only if the answer before was
-//! read whole and nothing came after it. hyper closes a connection on which
-//! bytes arrive that no request waits for.
+//! A connection is reused only if the previous response was read completely.
+//! hyper closes a connection if bytes arrive for which no request waits.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -28,28 +27,28 @@
 use crate::quantity::Timestamp;
 
 /// How long a connection may take to open. A round trip within a region takes
-/// two milliseconds; a dark server never answers.
+/// 2 ms; an unreachable server never responds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long an idle connection is kept when the server does not say: the
-/// shortest time that servers tell is some seconds.
-const DEFAULT_KEEP_IDLE: Duration = Duration::from_millis(2_000);
-/// How long before the server's own limit an idle connection is given up.
-const KEEP_IDLE_MARGIN: Duration = Duration::from_millis(800);
-/// The most idle connections kept for one backend server.
-const MAX_IDLE: usize = 8;
-/// The most idle connections kept in all: what 20 requests a second leave, a
-/// weak VM's part of the load, to servers that keep connections for twelve
-/// seconds. With two buffers of 16 KB each they take at most 8 MB.
-const MAX_IDLE_IN_ALL: usize = 256;
-/// The largest read buffer of a connection; answers' heads are small.
-const READ_BUFFER: usize = 16 * 1024;
-
-/// Why a request got no answer's head.
+/// How long an idle connection is kept if the server sends no `Keep-Alive`
+/// timeout. The shortest timeouts of servers are some seconds.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(2_000);
+/// How long before the server's timeout an idle connection is closed.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(800);
+/// The largest number of idle connections to one backend server.
+const MAX_IDLE_PER_BACKEND: usize = 8;
+/// The largest number of idle connections in total: enough for 20 requests a
+/// second, the load of a weak VM, to servers that keep connections for 12 s. With
+/// two buffers of 16 KB each, they take at most 8 MB.
+const MAX_IDLE_TOTAL: usize = 256;
+/// The largest read buffer of a connection. Response heads are small.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+
+/// Why a request got no response head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// Nothing of it left this process.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// It may have arrived.
+    /// The request may have reached the server.
     Lost(String),
 }
 
@@ -66,26 +65,26 @@
 
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    keep_until: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// An answer together with the connection it comes on. Dropping it before the
-/// body was read whole closes the connection, which stops the backend server.
+/// A response and its connection. Dropping it before the body is complete closes
+/// the connection, so that the backend server stops its work.
 pub struct Exchange {
-    /// The answer.
+    /// The response.
     pub response: Response<Incoming>,
-    /// The connection, to be put back after the body.
-    pub connection: KeptConnection,
+    /// The connection, to be returned to the pool after the body.
+    pub connection: PooledConnection,
 }
 
 /// A connection that is in use.
-pub struct KeptConnection {
+pub struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// Idle connections of one entry.
+/// The idle connections of one entry to backend servers.
 pub struct BackendPool {
-    /// Servers close idle connections also while this VM is suspended.
+    /// Includes suspensions, because servers close idle connections meanwhile.
     clock: Arc<BootClock>,
     idle: Mutex<HashMap<BackendId, Vec<IdleConnection>>>,
 }
@@ -105,11 +104,11 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError::NotSent`] only if certainly nothing was sent.
+    /// [`ExchangeError::NotSent`] only if certainly no byte was sent.
     pub async fn exchange(
         &self,
         id: &BackendId,
@@ -117,8 +116,8 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Exchange, ExchangeError> {
         let mut request = request;
-        // A kept connection may turn out closed before anything is written;
-        // hyper then gives the request back, and a new connection takes it.
+        // An idle connection may turn out to be closed before anything is written.
+        // hyper then returns the request, and another connection is used.
         while let Some(mut sender) = self.take_idle(id) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok(Exchange::new(response, sender)),
@@ -143,8 +142,8 @@
         }
     }
 
-    /// Returns whether nothing listens at an address: a server that crashed takes
-    /// no connection, and one that is only cut off says nothing.
+    /// Returns whether a server refuses connections. A crashed server does; one
+    /// that is only unreachable sends nothing.
     pub async fn refuses_connections(&self, address: SocketAddr) -> bool {
         counter!("cloverbend_backend_connections_total").increment(1);
         let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
@@ -152,42 +151,43 @@
         matches!(opened, Ok(Err(error)) if refusals.contains(&error.kind()))
     }
 
-    /// Keeps a connection whose last answer was read whole.
+    /// Returns a connection to the pool after its last response was read completely.
     pub fn return_connection(
         &self,
         id: &BackendId,
-        connection: KeptConnection,
-        keep_idle: Option<Duration>,
+        connection: PooledConnection,
+        keep_alive: Option<Duration>,
     ) {
-        let keep = match keep_idle {
-            Some(told) => told.saturating_sub(KEEP_IDLE_MARGIN),
-            None => DEFAULT_KEEP_IDLE,
+        let idle_time = match keep_alive {
+            Some(keep_alive) => keep_alive.saturating_sub(KEEP_ALIVE_MARGIN),
+            None => DEFAULT_KEEP_ALIVE,
         };
-        if keep.is_zero() || connection.sender.is_closed() {
+        if idle_time.is_zero() || connection.sender.is_closed() {
             return;
         }
         let now = self.clock.now();
         let mut idle = self.idle.lock();
-        // A closed connection costs a further request the opening of one.
-        if idle.values().map(Vec::len).sum::<usize>() >= MAX_IDLE_IN_ALL {
+        // Without this connection, a later request only has to open a new one.
+        if idle.values().map(Vec::len).sum::<usize>() >= MAX_IDLE_TOTAL {
             return;
         }
         let connections = idle.entry(id.clone()).or_default();
-        connections.retain(|c| c.keep_until > now && !c.sender.is_closed());
-        if connections.len() < MAX_IDLE {
+        connections
+            .retain(|connection| connection.expires_at > now && !connection.sender.is_closed());
+        if connections.len() < MAX_IDLE_PER_BACKEND {
             connections.push(IdleConnection {
                 sender: connection.sender,
-                keep_until: now.after(keep),
+                expires_at: now.after(idle_time),
             });
         }
     }
 
-    /// Closes the idle connections of a backend server that is gone.
+    /// Closes the idle connections to a backend server that is gone.
     pub fn close_idle(&self, id: &BackendId) {
         self.idle.lock().remove(id);
     }
 
-    /// Closes the idle connections to earlier lives of a backend server.
+    /// Closes the idle connections to earlier incarnations of a backend server.
     pub fn close_replaced(&self, id: &BackendId) {
         self.idle.lock().retain(|other, _| !id.replaces(other));
     }
@@ -197,12 +197,13 @@
         self.idle.lock().values().map(Vec::len).sum()
     }
 
-    /// Closes idle connections whose time is over.
+    /// Closes the idle connections that have expired.
     pub fn sweep(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
         for connections in idle.values_mut() {
-            connections.retain(|c| c.keep_until > now && !c.sender.is_closed());
+            connections
+                .retain(|connection| connection.expires_at > now && !connection.sender.is_closed());
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
@@ -212,8 +213,8 @@
         let mut idle = self.idle.lock();
         let connections = idle.get_mut(id)?;
         while let Some(connection) = connections.pop() {
-            // One that is not ready has not finished its last answer cleanly.
-            if connection.keep_until > now && connection.sender.is_ready() {
+            // A connection that is not ready did not end its last response cleanly.
+            if connection.expires_at > now && connection.sender.is_ready() {
                 return Some(connection.sender);
             }
         }
@@ -223,7 +224,7 @@
 
 impl Exchange {
     fn new(response: Response<Incoming>, sender: SendRequest<Full<Bytes>>) -> Self {
-        let connection = KeptConnection { sender };
+        let connection = PooledConnection { sender };
         Self {
             response,
             connection,
@@ -238,16 +239,16 @@
     let socket = match opened {
         Ok(Ok(socket)) => socket,
         Ok(Err(error)) => return Err(not_sent(error.to_string())),
-        Err(_) => return Err(not_sent("the connection did not open in time".to_owned())),
+        Err(_) => return Err(not_sent("timed out while connecting".to_owned())),
     };
-    // Small requests must not wait for one another; a failure only adds delay.
+    // Small requests must not wait for Nagle's algorithm. A failure only adds delay.
     let _ = socket.set_nodelay(true);
     let (sender, connection) = http1::Builder::new()
-        .max_buf_size(READ_BUFFER)
+        .max_buf_size(READ_BUFFER_BYTES)
         .handshake(TokioIo::new(socket))
         .await
         .map_err(|error| not_sent(error.to_string()))?;
-    // How the connection ends is told to whoever waits for its answer.
+    // The request that waits for a response gets any error of the connection.
     tokio::spawn(async move { drop(connection.await) });
     Ok(sender)
 }
--- a/lib/src/gateway/byte_budget.rs
+++ b/lib/src/gateway/byte_budget.rs
@@ -1,8 +1,8 @@
-//! One budget, in bytes, for the bodies and whole answers that an entry holds.
+//! Limits the memory for request and response bodies that an entry buffers.
 //!
-//! Bytes are taken from the budget as they arrive, never a limit up front, so
-//! that only what is there counts. What is taken is given back when the last
-//! owner of the bytes is dropped, be it a request or a connection that writes.
+//! Bytes are reserved as they arrive, not up to a limit in advance, so that only
+//! buffered bytes count. They are released when their last owner is dropped: a
+//! request, or the connection that writes them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,26 +12,26 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// The share of an entry's memory that bodies and answers may take. Buffers
-/// that grow by doubling occupy up to twice what is counted, so half of the
-/// memory is left for tables, connections and the process itself.
-const HELD_SHARE: f64 = 0.25;
-/// Bytes in a megabyte of the setting.
-const MEGABYTE: f64 = 1_000_000.0;
+/// The share of an entry's memory that buffered bodies may use. Buffers that
+/// grow by doubling occupy up to twice the counted bytes, so half of the memory
+/// is left for tables, connections and the process itself.
+const BUFFER_SHARE: f64 = 0.25;
+/// The unit of the setting `memory_mb`, in bytes.
+const BYTES_PER_MEGABYTE: f64 = 1_000_000.0;
 
 /// The budget has no room for more bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoRoom;
+pub struct BudgetExhausted;
 
-impl fmt::Display for NoRoom {
+impl fmt::Display for BudgetExhausted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("no room for more bytes")
+        f.write_str("the byte budget is exhausted")
     }
 }
 
-impl std::error::Error for NoRoom {}
+impl std::error::Error for BudgetExhausted {}
 
-/// The bytes that may be held at once, and those that are.
+/// The number of bytes that may be buffered at once, and how many are in use.
 #[derive(Debug)]
 pub struct ByteBudget {
     limit: usize,
@@ -47,111 +47,111 @@
         }
     }
 
-    /// Returns the budget of a process that may use so many megabytes.
-    pub fn of_memory(memory_mb: f64) -> Self {
-        // The cast keeps whole bytes; a negative size leaves no room.
-        Self::new((memory_mb * MEGABYTE * HELD_SHARE) as usize)
+    /// Returns the budget of a process that may use `memory_mb` megabytes.
+    pub fn from_memory_mb(memory_mb: f64) -> Self {
+        // The cast rounds down to whole bytes; a negative size becomes 0.
+        Self::new((memory_mb * BYTES_PER_MEGABYTE * BUFFER_SHARE) as usize)
     }
 
-    /// Returns whether so many bytes would fit now.
+    /// Returns whether `bytes` more bytes would fit now.
     pub fn has_room(&self, bytes: usize) -> bool {
         let sum = self.used().checked_add(bytes);
         sum.is_some_and(|sum| sum <= self.limit)
     }
 
-    /// Returns the bytes that are held.
+    /// Returns the number of reserved bytes.
     pub fn used(&self) -> usize {
         self.used.load(Ordering::Relaxed)
     }
 
-    fn take(&self, bytes: usize) -> Result<(), NoRoom> {
+    fn reserve(&self, bytes: usize) -> Result<(), BudgetExhausted> {
         let add = |used: usize| used.checked_add(bytes).filter(|sum| *sum <= self.limit);
-        let taken = self
+        let reserved = self
             .used
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
-        taken.map(|_| ()).map_err(|_| NoRoom)
+        reserved.map(|_| ()).map_err(|_| BudgetExhausted)
     }
 
-    fn give_back(&self, bytes: usize) {
+    fn release(&self, bytes: usize) {
         self.used.fetch_sub(bytes, Ordering::Relaxed);
     }
 }
 
-/// Bytes taken from a budget, given back on drop.
+/// Bytes reserved in a budget; released on drop.
 #[derive(Debug)]
-pub struct HeldBytes {
+pub struct ByteReservation {
     budget: Arc<ByteBudget>,
-    taken: usize,
+    reserved: usize,
 }
 
-impl HeldBytes {
-    /// Returns a guard that has taken nothing.
+impl ByteReservation {
+    /// Returns a reservation of no bytes.
     pub fn new(budget: &Arc<ByteBudget>) -> Self {
         Self {
             budget: Arc::clone(budget),
-            taken: 0,
+            reserved: 0,
         }
     }
 
-    /// Takes as many more or gives as many back as lead to `bytes`.
+    /// Reserves or releases bytes until `bytes` are reserved.
     ///
     /// # Errors
     ///
-    /// The budget has no room for more; what was taken stays.
-    pub fn resize(&mut self, bytes: usize) -> Result<(), NoRoom> {
-        match bytes.checked_sub(self.taken) {
-            Some(more) => self.budget.take(more)?,
-            None => self.budget.give_back(self.taken - bytes),
+    /// The budget is exhausted; the reservation is unchanged.
+    pub fn resize(&mut self, bytes: usize) -> Result<(), BudgetExhausted> {
+        match bytes.checked_sub(self.reserved) {
+            Some(more) => self.budget.reserve(more)?,
+            None => self.budget.release(self.reserved - bytes),
         }
-        self.taken = bytes;
+        self.reserved = bytes;
         Ok(())
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for ByteReservation {
     fn drop(&mut self) {
-        self.budget.give_back(self.taken);
+        self.budget.release(self.reserved);
     }
 }
 
-/// Collects bytes that are taken from a budget.
+/// A buffer whose bytes are reserved in a budget.
 #[derive(Debug)]
-pub struct HeldBuffer {
+pub struct BudgetedBuffer {
     bytes: BytesMut,
-    held: HeldBytes,
+    reservation: ByteReservation,
 }
 
-impl HeldBuffer {
-    /// Returns a buffer that holds nothing.
+impl BudgetedBuffer {
+    /// Returns an empty buffer.
     pub fn new(budget: &Arc<ByteBudget>) -> Self {
         Self {
             bytes: BytesMut::new(),
-            held: HeldBytes::new(budget),
+            reservation: ByteReservation::new(budget),
         }
     }
 
-    /// Returns how many bytes it has.
+    /// Returns the number of buffered bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Returns whether it has none.
+    /// Returns whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Adds bytes to the end.
+    /// Appends bytes.
     ///
     /// # Errors
     ///
-    /// The budget has no room for them; the buffer is as before.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), NoRoom> {
-        self.held.resize(self.bytes.len() + bytes.len())?;
+    /// The budget is exhausted; the buffer is unchanged.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), BudgetExhausted> {
+        self.reservation.resize(self.bytes.len() + bytes.len())?;
         self.bytes.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// Returns the bytes. They count until their last clone is dropped.
+    /// Returns the bytes. They stay reserved until their last clone is dropped.
     pub fn freeze(self) -> Bytes {
         if self.is_empty() {
             return Bytes::new();
@@ -160,7 +160,7 @@
     }
 }
 
-impl AsRef<[u8]> for HeldBuffer {
+impl AsRef<[u8]> for BudgetedBuffer {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
--- a/lib/src/gateway/call_admission.rs
+++ b/lib/src/gateway/call_admission.rs
@@ -1,5 +1,7 @@
-//! Decides whether a request is served at all: its route, its key, its body,
-//! its account's limit. Nothing is sent before.
+//! Decides whether a request is admitted.
+//!
+//! The checks cover the route, the API key, the body, earlier crashes and the
+//! limit of the account. Nothing is sent to a backend server before they pass.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +16,7 @@
 use twox_hash::XxHash64;
 
 use crate::boot_clock::BootClock;
-use crate::gateway::call_body::BodyTerms;
+use crate::gateway::call_body::BodyLimits;
 use crate::gateway::call_body::read_call_body;
 use crate::gateway::call_digest::CallDigest;
 use crate::gateway::call_head::CallHead;
@@ -29,118 +31,120 @@
 use crate::id::ServiceName;
 use crate::quantity::Timestamp;
 
-/// The age of the configuration from which on requests with a key are refused,
-/// as a share of the time for which a removed key may work. The rest covers
-/// the way from the caller and to the backend server.
-const KEY_AGE_SHARE: f64 = 0.85;
-/// The age of the configuration up to which "no such route or key" is said;
-/// after it the answer is "not now". News arrive within a second.
-const SURE_AGE: Duration = Duration::from_millis(1_800);
+/// The age of the configuration at which requests with a key are refused, as a
+/// share of the time for which a revoked key may work. The remaining share covers
+/// the time from the caller to this entry and on to the backend server.
+const MAX_CONFIG_AGE_SHARE: f64 = 0.85;
+/// The age up to which the configuration counts as the newest: gossip arrives
+/// within a second. A request with an unknown route or key is rejected for good
+/// only while the configuration is fresh; later its caller is asked to retry.
+const FRESH_CONFIG_AGE: Duration = Duration::from_millis(1_800);
 
-/// A request with everything that was decided about it before it is sent.
+/// A request that passed all checks and may be sent.
 pub struct AdmittedCall {
     /// The decoded head.
     pub head: CallHead,
-    /// The same for all tries of the same request.
+    /// The digest, which is the same for all attempts of the same request.
     pub digest: CallDigest,
-    /// Its route.
+    /// The matching route.
     pub route: RouteRule,
-    /// The service that it goes to.
+    /// The service that runs the request.
     pub service: ServiceName,
     /// The shortest target latency among the routes of that service.
     pub shortest_target: Duration,
-    /// Its account.
+    /// The client account, if the route needs a key.
     pub account: Option<AccountRule>,
-    /// Units that were taken from the account's limit.
+    /// The units that were charged to the account's limit.
     pub units: u64,
-    /// The clock of the two times below.
+    /// The clock of `deadline` and `arrived_at`.
     pub clock: Arc<BootClock>,
-    /// When its time is over.
-    pub until: Timestamp,
-    /// When its head arrived.
-    pub arrived: Timestamp,
-    /// Its method.
+    /// When the request times out.
+    pub deadline: Timestamp,
+    /// When the head arrived.
+    pub arrived_at: Timestamp,
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// Its headers without those that concern one connection only.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
 impl AdmittedCall {
-    /// Returns the time that is left.
-    pub fn left(&self) -> Duration {
-        self.clock.left(self.until)
+    /// Returns the time until the deadline.
+    pub fn time_left(&self) -> Duration {
+        self.clock.left(self.deadline)
     }
 
-    /// Returns the time since its head arrived.
-    pub fn taken(&self) -> Duration {
-        self.clock.now().since(self.arrived)
+    /// Returns the time since the head arrived.
+    pub fn elapsed(&self) -> Duration {
+        self.clock.now().since(self.arrived_at)
     }
 
-    /// Gives the body back, once no further send can need it.
-    pub fn let_go_of_body(&mut self) {
+    /// Releases the body once no further attempt can need it.
+    pub fn release_body(&mut self) {
         self.body = Bytes::new();
     }
 
-    /// Returns the name of its account.
+    /// Returns the name of the account.
     pub fn account_name(&self) -> Option<&AccountName> {
         self.account.as_ref().map(|account| &account.name)
     }
 
-    /// Returns its urgency, 0 the most urgent; the account's goes first.
+    /// Returns the priority of the account, or else of the route; 0 is the most
+    /// urgent.
     pub fn priority(&self) -> u8 {
         let account = self.account.as_ref().and_then(|a| a.priority);
         account.unwrap_or(self.route.priority).min(9)
     }
 }
 
-/// Admits a request, or says why not.
+/// Admits or refuses a request.
 ///
 /// # Errors
 ///
-/// A refusal; nothing of the request was sent.
+/// A refusal; the request was not sent.
 pub async fn admit_call(
     context: &GatewayContext,
     head: CallHead,
     parts: http::request::Parts,
     body: Incoming,
-    arrived: Timestamp,
+    arrived_at: Timestamp,
 ) -> Result<AdmittedCall, CallRefusal> {
-    let AllowedCall {
+    let ResolvedCall {
         route,
         service,
         shortest_target,
         account,
-        body_limit,
-    } = allow_call(context, &head, &parts)?;
-    let left = head.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let until = arrived.after(left);
-    let terms = BodyTerms {
-        limit: body_limit,
-        until,
-        waits: parts.headers.contains_key(header::EXPECT),
+        max_body_bytes,
+    } = resolve_call(context, &head, &parts)?;
+    let time_left = head.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = arrived_at.after(time_left);
+    let body_limits = BodyLimits {
+        max_bytes: max_body_bytes,
+        deadline,
+        expects_continue: parts.headers.contains_key(header::EXPECT),
     };
-    let body = read_call_body(context, body, terms).await?;
+    let body = read_call_body(context, body, body_limits).await?;
     if context.is_refusing() {
-        return Err(CallRefusal::Leaving);
+        return Err(CallRefusal::Draining);
     }
     let digest = CallDigest::of(
         account.as_ref().map(|account| &account.name),
         &parts.method,
-        host_of(&parts.headers),
+        request_host(&parts.headers),
         &parts.uri,
         &body,
     );
-    // Servers end under it, and its caller sends it to any entry: 57 ended in 40 s
-    // while entries remembered servers and no requests.
+    // Callers retry a request at any entry. If entries only ejected crashed
+    // servers, a request that crashes them would end one server after another.
     if context.crashes.lock().refuses(context.now(), digest) {
-        log_fatal(context, &head, digest);
+        log_fatal_request(context, &head, digest);
         return Err(CallRefusal::CrashesServers);
     }
-    let units = take_units(context, account.as_ref(), &head)?;
+    let units = charge_units(context, account.as_ref(), &head)?;
     Ok(AdmittedCall {
         head,
         digest,
@@ -150,57 +154,56 @@
         account,
         units,
         clock: Arc::clone(&context.clock),
-        until,
-        arrived,
+        deadline,
+        arrived_at,
         method: parts.method,
         uri: parts.uri,
-        headers: onward_headers(parts.headers),
+        headers: strip_hop_headers(parts.headers),
         body,
     })
 }
 
-fn log_fatal(context: &GatewayContext, head: &CallHead, digest: CallDigest) {
+fn log_fatal_request(context: &GatewayContext, head: &CallHead, digest: CallDigest) {
     if context.may_log(&head.id.0, LineClass::Failure) {
-        info!(context.log, "fatal request came"; "request" => %head.id, "digest" => %digest);
+        info!(context.log, "fatal request recognized"; "request" => %head.id, "digest" => %digest);
     }
 }
 
-/// Gives back what a request took from its account's limit, once it is certain
-/// that it did not run.
-pub fn give_back(context: &GatewayContext, call: &AdmittedCall) {
+/// Refunds the units of a request that certainly did not run to its account's
+/// limit.
+pub fn refund_units(context: &GatewayContext, call: &AdmittedCall) {
     if let Some(account) = call.account_name() {
         context.account_limits.lock().refund(account, call.units);
     }
 }
 
-/// What the configuration says about a request.
-struct AllowedCall {
+/// The parts of the configuration that apply to a request.
+struct ResolvedCall {
     route: RouteRule,
     service: ServiceName,
     shortest_target: Duration,
     account: Option<AccountRule>,
-    /// The longest body, in bytes.
-    body_limit: usize,
+    max_body_bytes: usize,
 }
 
-/// Takes out of the configuration what a request needs. While its body comes
-/// slowly, many revisions may follow; none is kept for it.
-fn allow_call(
+/// Copies the parts of the configuration that a request needs. A request with a
+/// slow body would otherwise keep an old revision in memory.
+fn resolve_call(
     context: &GatewayContext,
     head: &CallHead,
     parts: &http::request::Parts,
-) -> Result<AllowedCall, CallRefusal> {
+) -> Result<ResolvedCall, CallRefusal> {
     let config = current_config(context)?;
     let (route, account) = authorize(context, &config, head, parts)?;
     let number = XxHash64::oneshot(0, head.id.0.as_bytes());
     let service = route.target(number).cloned();
     let service = service.ok_or(CallRefusal::NoBackend)?;
-    Ok(AllowedCall {
+    Ok(ResolvedCall {
         shortest_target: config.shortest_target(&service, &route),
         service,
         route,
         account,
-        body_limit: config.limits.body_bytes,
+        max_body_bytes: config.limits.body_bytes,
     })
 }
 
@@ -210,15 +213,15 @@
     Ok(Arc::clone(adopted))
 }
 
-/// Returns the host that a request is for, without a port.
-fn host_of(headers: &HeaderMap) -> &str {
+/// Returns the host of a request without its port.
+fn request_host(headers: &HeaderMap) -> &str {
     let host = headers.get(header::HOST);
     let host = host.and_then(|host| host.to_str().ok()).unwrap_or("");
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-/// Finds the route and the account. A caller hears "no" only while this entry
-/// is sure that its configuration is the newest.
+/// Finds the route and the account of a request. An unknown route or key is
+/// reported as such only while the configuration is fresh.
 fn authorize(
     context: &GatewayContext,
     config: &SiteConfig,
@@ -226,29 +229,35 @@
     parts: &http::request::Parts,
 ) -> Result<(RouteRule, Option<AccountRule>), CallRefusal> {
     let age = context.config.lock().age(context.now());
-    let sure = age.is_some_and(|age| age < SURE_AGE);
-    let no = |refusal| if sure { refusal } else { CallRefusal::NoConfig };
+    let is_fresh = age.is_some_and(|age| age < FRESH_CONFIG_AGE);
+    let reject = |refusal| {
+        if is_fresh {
+            refusal
+        } else {
+            CallRefusal::NoConfig
+        }
+    };
     let route = config
-        .find_route(host_of(&parts.headers), parts.uri.path())
-        .ok_or_else(|| no(CallRefusal::NoRoute))?;
+        .find_route(request_host(&parts.headers), parts.uri.path())
+        .ok_or_else(|| reject(CallRefusal::NoRoute))?;
     if !config.needs_key(route) {
         return Ok((route.clone(), None));
     }
     let bounds = &context.settings.bounds;
-    let oldest = bounds.key_age.mul_f64(KEY_AGE_SHARE);
-    // Where operators would rather have a revoked key work for longer than no
-    // key at all, an outage of the store refuses nobody.
-    if bounds.fail_closed && age.is_none_or(|age| age >= oldest) {
+    let max_age = bounds.key_age.mul_f64(MAX_CONFIG_AGE_SHARE);
+    // With `fail_closed = false` an outage of the store refuses nobody, and a
+    // revoked key may work for longer.
+    if bounds.fail_closed && age.is_none_or(|age| age >= max_age) {
         return Err(CallRefusal::NoConfig);
     }
     let key = head.api_key.as_deref().ok_or(CallRefusal::NoKey)?;
     let account = config
         .find_account(key)
-        .ok_or_else(|| no(CallRefusal::NoKey))?;
+        .ok_or_else(|| reject(CallRefusal::NoKey))?;
     Ok((route.clone(), Some(account.clone())))
 }
 
-fn take_units(
+fn charge_units(
     context: &GatewayContext,
     account: Option<&AccountRule>,
     head: &CallHead,
@@ -258,21 +267,21 @@
     };
     let units = match account.unit {
         LimitUnit::Requests => 1,
-        LimitUnit::Tokens {
-            default_tokens: plain,
-        } => head.tokens.map_or(plain, |tokens| tokens.total().0),
+        LimitUnit::Tokens { default_tokens } => head
+            .tokens
+            .map_or(default_tokens, |tokens| tokens.total().0),
     };
     let now = context.now();
-    let view = context.peers.lock().entry_counts(now);
+    let counts = context.peers.lock().entry_counts(now);
     let mut limits = context.account_limits.lock();
-    let admitted = limits.admit(now, account, units, view);
+    let admission = limits.admit(now, account, units, counts);
     let level = limits.level(&account.name);
     drop(limits);
-    admitted.map_err(|after| {
+    admission.map_err(|after| {
         if context.may_log(&head.id.0, LineClass::Failure) {
             info!(context.log, "limit reached"; "request" => %head.id, "account" => %account.name,
             "units" => units, "level" => level, "rate" => account.rate,
-            "entries" => view.entries, "heard" => view.reachable,
+            "entries" => counts.entries, "heard" => counts.reachable,
             "retry_after_ms" => after.as_millis() as u64);
         }
         CallRefusal::OverLimit(after)
@@ -280,16 +289,16 @@
     Ok(units)
 }
 
-/// Removes the headers of a request or answer that concern one connection only.
-pub fn onward_headers(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+/// Removes the hop-by-hop headers of a request or response.
+pub fn strip_hop_headers(mut headers: HeaderMap) -> HeaderMap {
+    let connection_names: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named {
+    for name in connection_names {
         headers.remove(name);
     }
     for name in [
--- a/lib/src/gateway/call_dispatch.rs
+++ b/lib/src/gateway/call_dispatch.rs
@@ -1,7 +1,7 @@
-//! Sends a request to backend servers until one begins to answer.
+//! Sends a request to backend servers until one begins to respond.
 //!
-//! A request that may run only once is sent again only if certainly nothing of
-//! it ran: nothing left this process, or the backend server said so.
+//! A request that must run at most once is retried only if it certainly did not
+//! run: it was not sent, or the backend server reported that it did not run it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 use crate::gateway::backend_record::BackendId;
 use crate::gateway::backend_record::BackendOutcome;
 use crate::gateway::call_admission::AdmittedCall;
-use crate::gateway::call_log::log_send;
-use crate::gateway::call_log::log_sent;
+use crate::gateway::call_log::log_request_sent;
+use crate::gateway::call_log::log_send_failed;
 use crate::gateway::call_log::note_outcome;
 use crate::gateway::call_refusal::CallRefusal;
 use crate::gateway::gateway_context::GatewayContext;
@@ -40,53 +40,58 @@
 use crate::gateway::server_limits::ServerLimits;
 use crate::quantity::Timestamp;
 
-/// The least time left for which a request is sent.
-const LEAST_LEFT: Duration = Duration::from_millis(10);
-/// The most backend servers that one request is offered to.
-const MAX_OFFERS: usize = 4;
-/// The share of its target latency after which a repeatable request is tried
-/// elsewhere. Most of those that have no answer by then wait behind a long
-/// prompt, or their server is dark; nine in ten are answered within a quarter,
-/// so that the second try is still in time.
-const FIRST_TRY_SHARE: f64 = 0.6;
-/// How many times the expected time to its first event a prompt is left to a
-/// replica: as long again as the try elsewhere would take.
-const EXPECTED_TIMES: u32 = 2;
+/// The shortest time until the deadline with which a request is sent.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
+/// The largest number of backend servers to which one request is sent before it
+/// gets a response.
+const MAX_SENDS: usize = 4;
+/// The share of its target latency after which a repeatable request is retried at
+/// another server. Nine in ten requests are answered within a quarter of it, so
+/// the second attempt is still in time. Most others wait behind a long prompt, or
+/// their server is unreachable.
+const FIRST_ATTEMPT_SHARE: f64 = 0.6;
+/// How many times the expected time to the first event a stream gets at its first
+/// server. A retry at another server would take that expected time once more.
+const FIRST_EVENT_FACTOR: u32 = 2;
 
-/// An answer of which the head has come, and the backend server that sent it.
-pub struct SentCall {
-    /// The answer on its connection.
+/// A response whose head has arrived from a backend server.
+pub struct BackendResponse {
+    /// The response and its connection.
     pub exchange: Exchange,
-    /// Its decoded head.
-    pub answer: ResponseHead,
-    /// Counts the request at its backend server.
+    /// The decoded response head.
+    pub head: ResponseHead,
+    /// Counts the request at the backend server.
     pub guard: SendGuard,
 }
 
-/// What was tried for a request so far.
-pub struct SendPlan {
+/// The attempts of one request so far.
+pub struct RetryState {
     tried: Vec<BackendId>,
-    runs: u32,
+    /// The number of attempts that ran or may have run.
+    possible_runs: u32,
     repeatable: bool,
 }
 
-impl SendPlan {
-    /// Returns the plan of a request that was not sent yet.
+impl RetryState {
+    /// Returns the state of a request before its first attempt.
     pub fn new(call: &AdmittedCall) -> Self {
         Self {
             tried: Vec::new(),
-            runs: 0,
+            possible_runs: 0,
             repeatable: call.route.may_repeat(),
         }
     }
 
     /// Returns whether the request may run at one more backend server.
-    pub fn may_run_again(&self, call: &AdmittedCall) -> bool {
-        self.repeatable && self.runs < call.route.max_attempts && call.left() > LEAST_LEFT
+    pub fn may_retry(&self, call: &AdmittedCall) -> bool {
+        self.repeatable
+            && self.possible_runs < call.route.max_attempts
+            && call.time_left() > MIN_TIME_LEFT
     }
 
-    /// Takes a send beyond the first out of the budget.
-    pub fn take_budget(&self, context: &GatewayContext, call: &AdmittedCall) -> bool {
+    /// Takes one retry out of the budget of the service. Returns whether the
+    /// budget allowed it.
+    pub fn take_retry_budget(&self, context: &GatewayContext, call: &AdmittedCall) -> bool {
         let now = context.now();
         let entries = context.peers.lock().entry_counts(now).entries;
         let rule = &context.settings.bounds.resend;
@@ -95,187 +100,196 @@
     }
 }
 
-/// What became of one send.
+/// The result of one send.
 enum SendResult {
-    /// The backend server began to answer.
-    Answered(Box<Exchange>, ResponseHead),
-    /// It said that it did not run the request.
-    NotRun(BackendOutcome),
-    /// Nothing left this process.
+    /// The backend server began to respond.
+    Responded(Box<Exchange>, ResponseHead),
+    /// The backend server reported that it did not run the request.
+    NotExecuted(BackendOutcome),
+    /// The request was not sent.
     NotSent,
-    /// It may have run; the word tells what was seen.
+    /// The request may have run; the outcome code names the failure.
     Lost(&'static str),
-    /// It was given up for another server, for which the budget was taken.
-    GivenUp,
+    /// The attempt timed out, and a retry was taken out of the budget.
+    Abandoned,
 }
 
-/// Sends a request until a backend server begins to answer. With `resume_at`
-/// the answer goes on after that event.
+/// Sends a request until a backend server begins to respond. With `resume_after`
+/// the response continues after that event.
 ///
 /// # Errors
 ///
-/// A refusal, which promises that the request did not run only if no send of
-/// it may have.
-pub async fn next_send(
+/// A refusal. It says that the request did not run only if no attempt may have
+/// run.
+pub async fn send_until_response(
     context: &Arc<GatewayContext>,
     call: &AdmittedCall,
-    plan: &mut SendPlan,
-    resume_at: Option<u64>,
-) -> Result<SentCall, CallRefusal> {
-    let mut refused = false;
-    for _ in 0..MAX_OFFERS {
-        if call.left() <= LEAST_LEFT {
+    retry_state: &mut RetryState,
+    resume_after: Option<u64>,
+) -> Result<BackendResponse, CallRefusal> {
+    let mut not_executed = false;
+    for _ in 0..MAX_SENDS {
+        if call.time_left() <= MIN_TIME_LEFT {
             break;
         }
-        if plan.runs > 0 && context.crashes.lock().refuses(context.now(), call.digest) {
+        if retry_state.possible_runs > 0
+            && context.crashes.lock().refuses(context.now(), call.digest)
+        {
             break;
         }
-        let mut chosen = match choose(context, call, plan) {
-            Choice::Server(chosen) => chosen,
-            Choice::Crowded(after) => return Err(CallRefusal::Crowded(after)),
-            // Where it may have run, that is what its caller has to know.
-            Choice::AllClosed(after) if plan.runs == 0 => {
+        let mut chosen = match choose_next_step(context, call, retry_state) {
+            NextStep::Send(chosen) => chosen,
+            NextStep::Crowded(after) => return Err(CallRefusal::Crowded(after)),
+            // If an attempt may have run, the caller gets that refusal instead.
+            NextStep::AllClosed(after) if retry_state.possible_runs == 0 => {
                 return Err(CallRefusal::AllClosed(after));
             }
-            Choice::AllClosed(_) | Choice::NoServer => break,
+            NextStep::AllClosed(_) | NextStep::NoBackend => break,
         };
         let backend = chosen.guard.backend().clone();
-        plan.tried.push(backend.clone());
-        let word = match send_once(context, call, plan, &chosen, resume_at).await {
-            SendResult::Answered(exchange, answer) => {
-                plan.runs += 1;
+        retry_state.tried.push(backend.clone());
+        let outcome = match send_to_backend(context, call, retry_state, &chosen, resume_after).await
+        {
+            SendResult::Responded(exchange, head) => {
+                retry_state.possible_runs += 1;
                 chosen.guard.note_head();
-                log_sent(context, call, &backend, chosen.unread);
-                return Ok(SentCall {
+                log_request_sent(context, call, &backend, chosen.prefill_tokens);
+                return Ok(BackendResponse {
                     exchange: *exchange,
-                    answer,
+                    head,
                     guard: chosen.guard,
                 });
             }
-            SendResult::NotRun(outcome) => {
+            SendResult::NotExecuted(outcome) => {
                 note_outcome(context, &backend, outcome);
-                refused = true;
-                log_send(context, call, &backend, "not_run");
-                if !plan.take_budget(context, call) {
+                not_executed = true;
+                log_send_failed(context, call, &backend, "not_run");
+                if !retry_state.take_retry_budget(context, call) {
                     break;
                 }
                 continue;
             }
             SendResult::NotSent => {
                 note_outcome(context, &backend, BackendOutcome::Broken);
-                log_send(context, call, &backend, "not_sent");
+                log_send_failed(context, call, &backend, "not_sent");
                 continue;
             }
-            SendResult::GivenUp => {
-                plan.runs += 1;
+            SendResult::Abandoned => {
+                retry_state.possible_runs += 1;
                 note_outcome(context, &backend, BackendOutcome::Broken);
-                log_send(context, call, &backend, "given_up");
+                log_send_failed(context, call, &backend, "given_up");
                 continue;
             }
-            SendResult::Lost(word) => word,
+            SendResult::Lost(outcome) => outcome,
         };
-        plan.runs += 1;
+        retry_state.possible_runs += 1;
         note_outcome(context, &backend, BackendOutcome::Broken);
-        chosen.guard.note_interrupted(word);
-        log_send(context, call, &backend, word);
-        if !plan.may_run_again(call) || !plan.take_budget(context, call) {
+        chosen.guard.note_interrupted(outcome);
+        log_send_failed(context, call, &backend, outcome);
+        if !retry_state.may_retry(call) || !retry_state.take_retry_budget(context, call) {
             break;
         }
     }
-    Err(final_refusal(call, plan, refused))
+    Err(final_refusal(call, retry_state, not_executed))
 }
 
-/// Returns the refusal of a request that is not offered any more.
-fn final_refusal(call: &AdmittedCall, plan: &SendPlan, refused: bool) -> CallRefusal {
-    let late = call.left() <= LEAST_LEFT;
-    match (plan.runs > 0, late) {
+/// Returns the refusal of a request that is not sent again.
+fn final_refusal(call: &AdmittedCall, retry_state: &RetryState, not_executed: bool) -> CallRefusal {
+    let is_late = call.time_left() <= MIN_TIME_LEFT;
+    match (retry_state.possible_runs > 0, is_late) {
         (true, true) => CallRefusal::TimedOut,
         (true, false) => CallRefusal::Lost,
         (false, true) => CallRefusal::TooLate,
-        (false, false) if refused => CallRefusal::AllFull,
+        (false, false) if not_executed => CallRefusal::AllFull,
         (false, false) => CallRefusal::NoBackend,
     }
 }
 
-async fn send_once(
+async fn send_to_backend(
     context: &GatewayContext,
     call: &AdmittedCall,
-    plan: &SendPlan,
+    retry_state: &RetryState,
     chosen: &ChosenBackend,
-    resume_at: Option<u64>,
+    resume_after: Option<u64>,
 ) -> SendResult {
     let backend = chosen.guard.backend();
-    let request = build_send(context, call, backend, resume_at);
+    let request = build_request(context, call, backend, resume_after);
     let exchange = context.pool.exchange(backend, chosen.address, request);
     let mut exchange = std::pin::pin!(exchange);
-    if let Some(patience) = first_try_patience(call, plan, chosen) {
-        let early = tokio::select! {
+    if let Some(attempt_timeout) = first_attempt_timeout(call, retry_state, chosen) {
+        let result = tokio::select! {
             biased;
-            early = tokio::time::timeout(patience, &mut exchange) => early,
+            result = tokio::time::timeout(attempt_timeout, &mut exchange) => result,
             () = chosen.guard.restart_token.cancelled() => return SendResult::Lost(SERVER_RESTARTED),
         };
-        if let Ok(result) = early {
-            return judge_exchange(context, call, backend, result);
+        if let Ok(result) = result {
+            return classify_exchange(context, call, backend, result);
         }
-        // Without the means for another try, this one is still the best.
-        if has_other_server(context, call, plan) && plan.take_budget(context, call) {
-            return SendResult::GivenUp;
+        // Without another server or budget, this attempt continues.
+        if has_other_backend(context, call, retry_state)
+            && retry_state.take_retry_budget(context, call)
+        {
+            return SendResult::Abandoned;
         }
     }
     tokio::select! {
         biased;
-        result = context.clock.timeout_at(call.until, exchange) => match result {
-            Ok(result) => judge_exchange(context, call, backend, result),
+        result = context.clock.timeout_at(call.deadline, exchange) => match result {
+            Ok(result) => classify_exchange(context, call, backend, result),
             Err(_) => SendResult::Lost("no_answer"),
         },
         () = chosen.guard.restart_token.cancelled() => SendResult::Lost(SERVER_RESTARTED),
     }
 }
 
-fn judge_exchange(
+fn classify_exchange(
     context: &GatewayContext,
     call: &AdmittedCall,
     backend: &BackendId,
     result: Result<Exchange, ExchangeError>,
 ) -> SendResult {
     match result {
-        Ok(exchange) => judge_answer(context, call, backend, exchange),
+        Ok(exchange) => classify_response(context, call, backend, exchange),
         Err(ExchangeError::NotSent(_)) => SendResult::NotSent,
         Err(ExchangeError::Lost(_)) => SendResult::Lost(CONNECTION_LOST),
     }
 }
 
-/// Returns whether the service has a sound backend server that the request was
-/// not sent to.
-pub fn has_other_server(context: &GatewayContext, call: &AdmittedCall, plan: &SendPlan) -> bool {
+/// Returns whether the service has a healthy backend server to which the request
+/// was not sent.
+pub fn has_other_backend(
+    context: &GatewayContext,
+    call: &AdmittedCall,
+    retry_state: &RetryState,
+) -> bool {
     let backends = context.backends.lock();
     let limits = context.server_limits.lock();
     has_healthy_backend(
         &backends,
         context.now(),
-        &choice_query(context, call, plan, &limits),
+        &choice_query(context, call, retry_state, &limits),
     )
 }
 
-/// Returns what the choice of a server for a request depends on.
+/// Builds the query for choosing a backend server.
 fn choice_query<'a>(
     context: &'a GatewayContext,
     call: &'a AdmittedCall,
-    plan: &'a SendPlan,
+    retry_state: &'a RetryState,
     limits: &'a ServerLimits,
 ) -> ChoiceQuery<'a> {
     ChoiceQuery {
         service: &call.service,
         zone: &context.settings.zone,
         prompt_blocks: &call.head.prompt_blocks,
-        tried: &plan.tried,
+        tried: &retry_state.tried,
         limits,
     }
 }
 
-/// Judges the head of an answer: whether it belongs to the request, and whether
+/// Decodes the head of a response: whether it belongs to the request, and whether
 /// the request ran.
-fn judge_answer(
+fn classify_response(
     context: &GatewayContext,
     call: &AdmittedCall,
     backend: &BackendId,
@@ -283,24 +297,25 @@
 ) -> SendResult {
     let status = exchange.response.status();
     let headers = exchange.response.headers();
-    let answer = context.platform.format.decode_response(status, headers);
-    if let Some(load) = answer.load {
+    let head = context.platform.format.decode_response(status, headers);
+    if let Some(load) = head.load {
         let now = context.now();
         context.backends.lock().note_load(now, backend, load);
     }
-    if answer.request_id.as_ref() != Some(&call.head.id.0) {
-        // The answer of an earlier request came late, in the place of this
-        // one's; the connection closes with it.
+    if head.request_id.as_ref() != Some(&call.head.id.0) {
+        // A late response to an earlier request arrived instead; the connection
+        // is closed.
         return SendResult::Lost("other_answer");
     }
-    // Where another server has the address, that one speaks.
+    // A misdirected request reached another server that now has the address. Its
+    // report is not about the chosen server.
     if status != StatusCode::MISDIRECTED_REQUEST {
-        handle_report(context, backend, &answer.report);
+        handle_report(context, backend, &head.report);
     }
-    if answer.not_executed {
-        // Another server has the address: this one is gone.
-        let gone = status == StatusCode::MISDIRECTED_REQUEST;
-        return SendResult::NotRun(if gone {
+    if head.not_executed {
+        // The chosen server is gone.
+        let is_replaced = status == StatusCode::MISDIRECTED_REQUEST;
+        return SendResult::NotExecuted(if is_replaced {
             BackendOutcome::Broken
         } else {
             BackendOutcome::Full
@@ -312,62 +327,71 @@
         BackendOutcome::Served
     };
     note_outcome(context, backend, outcome);
-    SendResult::Answered(Box::new(exchange), answer)
+    SendResult::Responded(Box::new(exchange), head)
 }
 
-/// A backend server that was chosen, with the request counted there.
+/// The chosen backend server, where the request is already counted.
 struct ChosenBackend {
     guard: SendGuard,
     address: SocketAddr,
-    unread: u64,
-    /// How long the first event of its answer is expected to take.
+    prefill_tokens: u64,
+    /// The expected time to the first event.
     first_event: Duration,
 }
 
-/// What is done with a request next.
-enum Choice {
-    /// It is sent.
-    Server(Box<ChosenBackend>),
-    /// It is turned away, and may come back after a while.
+/// The next step for a request.
+enum NextStep {
+    /// Send it to this backend server.
+    Send(Box<ChosenBackend>),
+    /// Refuse it for load shedding; the caller may retry after that time.
     Crowded(Duration),
-    /// All servers rest, or have limits of which nothing is left for this entry
-    /// now; it may come back after a while.
+    /// Refuse it because every server backs off or has reached its limit for this
+    /// entry; the caller may retry after that time.
     AllClosed(Duration),
-    /// There is no server to send it to.
-    NoServer,
+    /// No backend server is available.
+    NoBackend,
 }
 
-fn choose(context: &Arc<GatewayContext>, call: &AdmittedCall, plan: &SendPlan) -> Choice {
+fn choose_next_step(
+    context: &Arc<GatewayContext>,
+    call: &AdmittedCall,
+    retry_state: &RetryState,
+) -> NextStep {
     let now = context.now();
     let mut backends = context.backends.lock();
     let mut limits = context.server_limits.lock();
-    let query = choice_query(context, call, plan, &limits);
+    let query = choice_query(context, call, retry_state, &limits);
     let Some(choice) = choose_backend(&backends, now, &query) else {
         let Some(after) = time_until_available(&backends, now, &query) else {
-            return Choice::NoServer;
+            return NextStep::NoBackend;
         };
-        note_unsent_work(context, call, plan, now);
-        return Choice::AllClosed(after);
+        record_unsent_work(context, call, retry_state, now);
+        return NextStep::AllClosed(after);
     };
     let Some(backend) = backends.get(&choice.id) else {
-        return Choice::NoServer;
+        return NextStep::NoBackend;
     };
     let address = backend.record.address;
-    let had_room = backend.occupancy(now) < backend.record.slots;
-    let ahead = backend.pending_tokens + backend.peer_pending_tokens;
+    let had_free_slot = backend.occupancy(now) < backend.record.slots;
+    let tokens_ahead = backend.pending_tokens + backend.peer_pending_tokens;
     let speed = backends.times(&call.service).prefill_speed;
-    let first_event = speed.first_event(ahead + choice.prefill_tokens);
-    if plan.tried.is_empty() {
+    let first_event = speed.first_event(tokens_ahead + choice.prefill_tokens);
+    if retry_state.tried.is_empty() {
         context
             .work
             .lock()
             .note(now, &call.service, choice.prefill_tokens);
-        if let Some(after) = shed_request(&crowd_query(call, &choice)) {
-            return Choice::Crowded(after);
+        if let Some(after) = shed_request(&shedding_query(call, &choice)) {
+            return NextStep::Crowded(after);
         }
     }
-    let parts: Vec<u64> = call.head.prompt_blocks.iter().map(|part| part.id).collect();
-    backends.note_sent(now, &choice.id, choice.prefill_tokens, &parts);
+    let block_ids: Vec<u64> = call
+        .head
+        .prompt_blocks
+        .iter()
+        .map(|block| block.id)
+        .collect();
+    backends.note_sent(now, &choice.id, choice.prefill_tokens, &block_ids);
     limits.note_sent(now, &choice.id);
     drop(limits);
     drop(backends);
@@ -376,72 +400,73 @@
         address,
         digest: call.digest,
         prefill_tokens: choice.prefill_tokens,
-        tokens_ahead: ahead,
-        had_free_slot: had_room,
+        tokens_ahead,
+        had_free_slot,
         sent_at: now,
     };
     let guard = SendGuard::new(context, terms);
-    Choice::Server(Box::new(ChosenBackend {
+    NextStep::Send(Box::new(ChosenBackend {
         guard,
         address,
-        unread: choice.prefill_tokens,
+        prefill_tokens: choice.prefill_tokens,
         first_event,
     }))
 }
 
-/// Notes the work of a request that no server takes now: entries get permits, and
-/// replicas are planned, by the requests that come.
-fn note_unsent_work(
+/// Counts the demand of a request that no server accepts now. Permits of entries
+/// and planned replicas depend on the demand, not on the sent requests.
+fn record_unsent_work(
     context: &GatewayContext,
     call: &AdmittedCall,
-    plan: &SendPlan,
+    retry_state: &RetryState,
     now: Timestamp,
 ) {
-    if plan.tried.is_empty() {
+    if retry_state.tried.is_empty() {
         let tokens = call
             .head
             .prompt_blocks
             .iter()
-            .map(|part| part.tokens.0)
+            .map(|block| block.tokens.0)
             .sum();
         context.work.lock().note(now, &call.service, tokens);
     }
 }
 
-fn crowd_query(call: &AdmittedCall, choice: &BackendChoice) -> SheddingQuery {
-    let number = XxHash64::oneshot(2, call.head.id.0.as_bytes());
+fn shedding_query(call: &AdmittedCall, choice: &BackendChoice) -> SheddingQuery {
+    let hash = XxHash64::oneshot(2, call.head.id.0.as_bytes());
     SheddingQuery {
         expected_latency: choice.first_event,
         slot_wait: choice.slot_wait,
-        target_latency: call.route.target_latency.min(call.left()),
+        target_latency: call.route.target_latency.min(call.time_left()),
         shortest_target: call.shortest_target,
         urgency: call.priority(),
-        draw: number as f64 / u64::MAX as f64,
+        draw: hash as f64 / u64::MAX as f64,
     }
 }
 
-/// Returns how long to wait for the head of an answer before another backend
-/// server is tried, if one may be. A prompt that takes long to read is not
-/// given up while it is read: another replica would read it from its start.
-fn first_try_patience(
+/// Returns how long to wait for the response head before the request is retried
+/// at another backend server, if it may be. A stream with a long prefill gets more
+/// time, because another replica would start the prefill again.
+fn first_attempt_timeout(
     call: &AdmittedCall,
-    plan: &SendPlan,
+    retry_state: &RetryState,
     chosen: &ChosenBackend,
 ) -> Option<Duration> {
-    let more = plan.repeatable && plan.runs + 1 < call.route.max_attempts;
-    let share = call.route.target_latency.mul_f64(FIRST_TRY_SHARE);
-    let reading = match call.route.streaming {
-        true => chosen.first_event * EXPECTED_TIMES,
+    let may_retry =
+        retry_state.repeatable && retry_state.possible_runs + 1 < call.route.max_attempts;
+    let target_share = call.route.target_latency.mul_f64(FIRST_ATTEMPT_SHARE);
+    let prefill_wait = match call.route.streaming {
+        true => chosen.first_event * FIRST_EVENT_FACTOR,
         false => Duration::ZERO,
     };
-    more.then(|| share.max(reading).min(call.left() / 2))
+    may_retry.then(|| target_share.max(prefill_wait).min(call.time_left() / 2))
 }
 
-fn build_send(
+fn build_request(
     context: &GatewayContext,
     call: &AdmittedCall,
     backend: &BackendId,
-    resume_at: Option<u64>,
+    resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
@@ -449,10 +474,10 @@
     *request.headers_mut() = call.headers.clone();
     let terms = ForwardedHead {
         backend,
-        time_left: call.left(),
+        time_left: call.time_left(),
         account: call.account_name(),
         priority: call.head.tokens.map(|_| call.priority()),
-        last_event: resume_at.or(call.head.last_event),
+        last_event: resume_after.or(call.head.last_event),
     };
     context
         .platform
--- a/lib/src/gateway/call_head.rs
+++ b/lib/src/gateway/call_head.rs
@@ -1,11 +1,11 @@
-//! What a caller's request says about itself, decoded once.
+//! The decoded head of a caller's request.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::quantity::TokenCount;
 
-/// The caller's identifier of one try of a request.
+/// The caller's identifier of one attempt of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub String);
 
@@ -15,26 +15,26 @@
     }
 }
 
-/// One part of a prompt. Parts with the same identifier have the same text.
+/// One block of a prompt. Blocks with the same id have the same text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptBlock {
-    /// The identifier of the part's text.
+    /// Identifies the text of the block.
     pub id: u64,
-    /// The length of the part.
+    /// The length of the block.
     pub tokens: TokenCount,
 }
 
-/// The size of a generation as its caller states it.
+/// The number of tokens of a request, as its caller states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenUse {
-    /// Tokens of the prompt.
+    /// The tokens of the prompt.
     pub prompt: TokenCount,
-    /// The most tokens that may be generated.
+    /// The largest number of tokens that may be generated.
     pub max_generated: TokenCount,
 }
 
 impl TokenUse {
-    /// Returns what a limit in tokens counts for the request.
+    /// Returns the number of tokens that the request uses of a limit in tokens.
     pub fn total(self) -> TokenCount {
         TokenCount(self.prompt.0.saturating_add(self.max_generated.0))
     }
@@ -43,44 +43,45 @@
 /// The decoded head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallHead {
-    /// The caller's identifier of this try.
+    /// The caller's identifier of this attempt.
     pub id: CallId,
     /// How long the caller waits, counted from the arrival of the head.
     pub deadline: Option<Duration>,
-    /// The API key that the caller presents.
+    /// The API key that the caller sent.
     pub api_key: Option<String>,
-    /// The size of a generation.
+    /// The number of prompt and generated tokens.
     pub tokens: Option<TokenUse>,
-    /// The parts of the prompt in order; the last is the request's own.
+    /// The blocks of the prompt in order. The last block is only of this request;
+    /// the others may be shared with other requests.
     pub prompt_blocks: Vec<PromptBlock>,
-    /// The position of the last event that the caller has, when it resumes.
+    /// The id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
 impl CallHead {
-    /// Returns the last part that other requests share, if there is one.
-    pub fn shared_part(&self) -> Option<PromptBlock> {
+    /// Returns the last block that other requests may share, if there is one.
+    pub fn last_shared_block(&self) -> Option<PromptBlock> {
         let count = self.prompt_blocks.len();
         count.checked_sub(2).map(|index| self.prompt_blocks[index])
     }
 
-    /// Returns the tokens of the prompt.
+    /// Returns the number of prompt tokens.
     pub fn prompt_tokens(&self) -> TokenCount {
         match self.tokens {
             Some(tokens) => tokens.prompt,
-            None => TokenCount(self.prompt_blocks.iter().map(|part| part.tokens.0).sum()),
+            None => TokenCount(self.prompt_blocks.iter().map(|block| block.tokens.0).sum()),
         }
     }
 }
 
-/// Why a request's head cannot be served.
+/// Why the head of a request cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// A header that every request needs is absent.
+    /// A required header is missing.
     Missing(&'static str),
-    /// A header's value has not the expected form.
+    /// The value of a header is malformed.
     Malformed(&'static str),
-    /// A header stands twice.
+    /// A header appears more than once.
     Duplicate(&'static str),
 }
 
@@ -89,7 +90,7 @@
         match self {
             Self::Missing(header) => write!(f, "the header {header} is missing"),
             Self::Malformed(header) => write!(f, "the header {header} cannot be read"),
-            Self::Duplicate(header) => write!(f, "the header {header} stands twice"),
+            Self::Duplicate(header) => write!(f, "the header {header} appears more than once"),
         }
     }
 }
--- a/lib/src/gateway/call_log.rs
+++ b/lib/src/gateway/call_log.rs
@@ -1,4 +1,4 @@
-//! Counts and log lines about one request.
+//! Metrics and log lines about one request.
 
 use http::StatusCode;
 use metrics::counter;
@@ -11,7 +11,7 @@
 use crate::gateway::log_budget::LineClass;
 use crate::id::AccountName;
 
-/// Counts the usage of a request that began to run.
+/// Counts a request that began to run in the usage of its account.
 pub fn count_usage(context: &GatewayContext, account: Option<&AccountName>) {
     if let Some(account) = account {
         let window = context.usage_window();
@@ -19,40 +19,50 @@
     }
 }
 
-/// Notes how a request ended at a backend server.
+/// Records how a request ended at a backend server, which may eject the server.
 pub fn note_outcome(context: &GatewayContext, backend: &BackendId, outcome: BackendOutcome) {
     let now = context.now();
-    let pause = context.backends.lock().note_outcome(now, backend, outcome);
-    if let Some(pause) = pause {
+    let ejection_time = context.backends.lock().note_outcome(now, backend, outcome);
+    if let Some(ejection_time) = ejection_time {
         counter!("cloverbend_backend_exclusions_total").increment(1);
-        info!(context.log, "backend server left out"; "backend" => %backend,
-            "outcome" => ?outcome, "for_ms" => pause.as_millis() as u64);
+        info!(context.log, "backend server ejected"; "backend" => %backend,
+            "outcome" => ?outcome, "for_ms" => ejection_time.as_millis() as u64);
     }
 }
 
-/// Logs that a backend server began to answer.
-pub fn log_sent(context: &GatewayContext, call: &AdmittedCall, backend: &BackendId, unread: u64) {
+/// Logs that a backend server began to respond.
+pub fn log_request_sent(
+    context: &GatewayContext,
+    call: &AdmittedCall,
+    backend: &BackendId,
+    prefill_tokens: u64,
+) {
     if !context.may_log(&call.head.id.0, LineClass::Step) {
         return;
     }
     info!(context.log, "request sent"; "request" => %call.head.id, "digest" => %call.digest,
         "route" => &call.route.name, "account" => call.account_name().map(AccountName::as_str), "backend" => %backend,
-        "unread_tokens" => unread, "target_ms" => call.route.target_latency.as_millis() as u64,
-        "left_ms" => call.left().as_millis() as u64);
+        "unread_tokens" => prefill_tokens, "target_ms" => call.route.target_latency.as_millis() as u64,
+        "left_ms" => call.time_left().as_millis() as u64);
 }
 
-/// Logs what became of one send.
-pub fn log_send(context: &GatewayContext, call: &AdmittedCall, backend: &BackendId, word: &str) {
-    counter!("cloverbend_sends_failed_total", "outcome" => word.to_owned()).increment(1);
+/// Counts and logs a send that failed.
+pub fn log_send_failed(
+    context: &GatewayContext,
+    call: &AdmittedCall,
+    backend: &BackendId,
+    outcome: &str,
+) {
+    counter!("cloverbend_sends_failed_total", "outcome" => outcome.to_owned()).increment(1);
     if !context.may_log(&call.head.id.0, LineClass::Failure) {
         return;
     }
     info!(context.log, "send failed"; "request" => %call.head.id, "digest" => %call.digest,
-        "route" => &call.route.name, "backend" => %backend, "outcome" => word, "left_ms" => call.left().as_millis() as u64);
+        "route" => &call.route.name, "backend" => %backend, "outcome" => outcome, "left_ms" => call.time_left().as_millis() as u64);
 }
 
-/// Counts and logs an answer that was passed on whole.
-pub fn log_end(
+/// Counts and logs a response that was passed on completely.
+pub fn log_request_answered(
     context: &GatewayContext,
     call: &AdmittedCall,
     backend: &BackendId,
@@ -63,5 +73,5 @@
         return;
     }
     info!(context.log, "request answered"; "request" => %call.head.id, "backend" => %backend,
-        "status" => status.as_u16(), "after_ms" => call.taken().as_millis() as u64);
+        "status" => status.as_u16(), "after_ms" => call.elapsed().as_millis() as u64);
 }
--- a/lib/src/gateway/call_refusal.rs
+++ b/lib/src/gateway/call_refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request is not served, and what its caller is told.
+//! The reasons for refusing a request, and the response that its caller gets.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::gateway::call_head::HeadError;
 use crate::gateway::crash_ledger::CRASH_RETENTION;
 
-/// When a caller comes back that was refused for lack of knowledge or room.
-const COME_BACK: Duration = Duration::from_millis(150);
-/// The longest time that a caller is told to wait.
-const LONGEST_COME_BACK: Duration = Duration::from_secs(5);
+/// The shortest time after which a caller should retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// The longest time after which a caller should retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Why a request is not served. All but the last two are certain not to have
-/// run.
+/// Why a request is not served. Except with the last two reasons, it certainly
+/// did not run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallRefusal {
     /// The head cannot be decoded.
@@ -23,34 +23,35 @@
     BodyTooLarge,
     /// The body ended early.
     BodyBroken,
-    /// There is no room for the body.
+    /// The byte budget has no room for the body.
     NoRoom,
-    /// No configuration is known, or it may no longer be in force.
+    /// There is no configuration, or it may be out of date.
     NoConfig,
-    /// There is no such route.
+    /// No route matches.
     NoRoute,
-    /// There is no such key.
+    /// The API key is missing or unknown.
     NoKey,
-    /// The account's limit is used up.
+    /// The account has reached its limit; it may retry after that time.
     OverLimit(Duration),
-    /// There is no backend server to send it to.
+    /// No backend server is available.
     NoBackend,
-    /// The backend servers are full, and it would be late.
+    /// The backend servers are full, and the response would be late; the caller
+    /// may retry after that time.
     Crowded(Duration),
-    /// All backend servers have named limits that are used up here, or want to
-    /// rest; the soonest may take it after that time.
+    /// Every backend server has reached its limit for this entry or asked for a
+    /// back-off; the first one is available after that time.
     AllClosed(Duration),
-    /// The backend servers refused it.
+    /// The backend servers refused the request without running it.
     AllFull,
-    /// It crashes the backend servers that run it.
+    /// The request crashes the backend servers that run it.
     CrashesServers,
-    /// This entry is stopping.
-    Leaving,
-    /// The time is over and it was not sent.
+    /// This entry is draining.
+    Draining,
+    /// The request timed out before it was sent.
     TooLate,
-    /// It was sent, and its answer was lost.
+    /// The request was sent, and its response was lost.
     Lost,
-    /// It was sent, and the time is over.
+    /// The request was sent, and timed out.
     TimedOut,
 }
 
@@ -60,8 +61,8 @@
         matches!(self, Self::Lost | Self::TimedOut)
     }
 
-    /// Returns the word that stands for the refusal in logs and metrics.
-    pub fn word(&self) -> &'static str {
+    /// Returns the reason code for logs, metrics and the response body.
+    pub fn code(&self) -> &'static str {
         match self {
             Self::BadHead(_) => "bad_head",
             Self::BodyTooLarge => "body_too_large",
@@ -76,14 +77,14 @@
             Self::AllClosed(_) => "all_closed",
             Self::AllFull => "all_full",
             Self::CrashesServers => "crashes_servers",
-            Self::Leaving => "leaving",
+            Self::Draining => "leaving",
             Self::TooLate => "too_late",
             Self::Lost => "lost",
             Self::TimedOut => "timed_out",
         }
     }
 
-    /// Returns the status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::BadHead(_) | Self::BodyBroken => StatusCode::BAD_REQUEST,
@@ -98,26 +99,26 @@
             | Self::AllClosed(_)
             | Self::AllFull
             | Self::CrashesServers
-            | Self::Leaving
+            | Self::Draining
             | Self::TooLate => StatusCode::SERVICE_UNAVAILABLE,
             Self::Lost => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// Returns when the caller may come back, if that would help.
+    /// Returns the time after which the caller should retry, if a retry can help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::OverLimit(after) => Some((*after).clamp(COME_BACK, LONGEST_COME_BACK)),
+            Self::OverLimit(after) => Some((*after).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)),
             Self::Crowded(after) | Self::AllClosed(after) => {
-                Some((*after).clamp(COME_BACK, LONGEST_COME_BACK))
+                Some((*after).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
             }
             Self::NoRoom | Self::NoConfig | Self::NoBackend | Self::AllFull => {
-                Some(COME_BACK + COME_BACK.mul_f64(rand::rng().random()))
+                Some(MIN_RETRY_AFTER + MIN_RETRY_AFTER.mul_f64(rand::rng().random()))
             }
-            // It is remembered for that long after it last came.
+            // The crash ledger keeps a request for this long after its last attempt.
             Self::CrashesServers => Some(CRASH_RETENTION),
-            Self::Leaving => Some(Duration::from_millis(10)),
+            Self::Draining => Some(Duration::from_millis(10)),
             _ => None,
         }
     }
--- a/lib/src/gateway/event_relay.rs
+++ b/lib/src/gateway/event_relay.rs
@@ -1,7 +1,7 @@
-//! Passes streams of events on as they come.
+//! Relays event streams from backend servers to callers.
 //!
-//! Dropping the body, as hyper does when a caller leaves, closes the
-//! connection to the backend server, which stops its work.
+//! When a caller disconnects, hyper drops the body. This closes the connection to
+//! the backend server, so that the server stops its work.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,17 +22,17 @@
 use tokio::time::timeout_at;
 
 use crate::boot_clock::TimeOver;
-use crate::gateway::backend_pool::KeptConnection;
+use crate::gateway::backend_pool::PooledConnection;
 use crate::gateway::backend_record::BackendOutcome;
-use crate::gateway::byte_budget::HeldBytes;
+use crate::gateway::byte_budget::ByteReservation;
 use crate::gateway::call_admission::AdmittedCall;
-use crate::gateway::call_admission::onward_headers;
-use crate::gateway::call_dispatch::SendPlan;
-use crate::gateway::call_dispatch::SentCall;
-use crate::gateway::call_dispatch::has_other_server;
-use crate::gateway::call_dispatch::next_send;
+use crate::gateway::call_admission::strip_hop_headers;
+use crate::gateway::call_dispatch::BackendResponse;
+use crate::gateway::call_dispatch::RetryState;
+use crate::gateway::call_dispatch::has_other_backend;
+use crate::gateway::call_dispatch::send_until_response;
 use crate::gateway::call_log::count_usage;
-use crate::gateway::call_log::log_send;
+use crate::gateway::call_log::log_send_failed;
 use crate::gateway::call_log::note_outcome;
 use crate::gateway::event_splitter::EventBatch;
 use crate::gateway::event_splitter::EventSplitter;
@@ -44,81 +44,85 @@
 use crate::gateway::send_guard::SendGuard;
 use crate::gateway::stall_detector::StallDetector;
 
-/// Why the body of an answer ends early. hyper then closes the caller's
-/// connection without an end of the body.
+/// Why the body of a response ends early. hyper then closes the caller's
+/// connection before the end of the body.
 pub type RelayError = std::io::Error;
 
-/// The body of an answer to a caller.
-pub type CallBody = UnsyncBoxBody<Bytes, RelayError>;
+/// The body of a response to a caller.
+pub type CallerBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// Makes a body of bytes that are all there.
-pub fn full_body(bytes: Bytes) -> CallBody {
+/// Builds a body of bytes that are already in memory.
+pub fn full_body(bytes: Bytes) -> CallerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// Kept back bytes of an event that do not count in the budget: as many as a
-/// connection reads at once, so that usual events pass whole when it is full.
-const FREE_PENDING: usize = 16 * 1024;
+/// Buffered bytes of an event that do not count in the byte budget: as many as a
+/// connection reads at once, so that usual events stay whole when the budget is
+/// exhausted.
+const UNCOUNTED_PENDING_BYTES: usize = 16 * 1024;
 
-struct OpenAnswer {
+/// A response whose events are being relayed.
+struct OpenResponse {
     body: Incoming,
-    connection: KeptConnection,
+    connection: PooledConnection,
     guard: SendGuard,
-    keep_idle: Option<Duration>,
+    keep_alive: Option<Duration>,
 }
 
-/// Relays one stream of events.
+/// Relays one event stream to its caller, from one backend server after another.
 pub struct EventRelay {
     context: Arc<GatewayContext>,
     call: AdmittedCall,
-    plan: SendPlan,
-    answer: Option<OpenAnswer>,
+    retry_state: RetryState,
+    response: Option<OpenResponse>,
     splitter: EventSplitter,
-    /// The bytes that the splitter keeps back.
-    held: HeldBytes,
+    /// The bytes that the splitter buffers.
+    reservation: ByteReservation,
+    /// The id of the last event that was passed on.
     last_event: Option<u64>,
     events: usize,
-    first_event_after: Option<Duration>,
-    pauses: StallDetector,
-    /// Whether the send that takes up the stream elsewhere is paid for.
-    resume_paid: bool,
-    finished: bool,
-    _open: CallGuard,
+    first_event_delay: Option<Duration>,
+    stall_detector: StallDetector,
+    /// Whether the retry that resumes the stream was already taken out of the
+    /// budget.
+    has_resume_budget: bool,
+    is_finished: bool,
+    _call_guard: CallGuard,
 }
 
 impl EventRelay {
-    /// Builds the answer to the caller from the head of the first stream.
+    /// Builds the response to the caller from the first response head.
     pub fn start(
         context: Arc<GatewayContext>,
         call: AdmittedCall,
-        plan: SendPlan,
-        sent: SentCall,
-    ) -> Response<CallBody> {
+        retry_state: RetryState,
+        backend_response: BackendResponse,
+    ) -> Response<CallerBody> {
         let mut call = call;
         if !call.route.may_repeat() {
-            call.let_go_of_body();
+            call.release_body();
         }
         let mut response = Response::new(());
-        *response.status_mut() = sent.exchange.response.status();
-        let headers = sent.exchange.response.headers().clone();
-        *response.headers_mut() = onward_headers(headers);
+        *response.status_mut() = backend_response.exchange.response.status();
+        let headers = backend_response.exchange.response.headers().clone();
+        *response.headers_mut() = strip_hop_headers(headers);
         let now = Instant::now();
         let relay = Self {
-            pauses: StallDetector::new(now, &call.route),
-            resume_paid: false,
-            _open: context.open_call(),
+            stall_detector: StallDetector::new(now, &call.route),
+            has_resume_budget: false,
+            _call_guard: context.track_call(),
             last_event: call.head.last_event,
-            held: HeldBytes::new(&context.byte_budget),
+            reservation: ByteReservation::new(&context.byte_budget),
             context,
             call,
-            plan,
-            answer: Some(open_answer(sent)),
+            retry_state,
+            response: Some(open_response(backend_response)),
             splitter: EventSplitter::new(),
             events: 0,
-            first_event_after: None,
-            finished: false,
+            first_event_delay: None,
+            is_finished: false,
         };
         let frames = stream::unfold(relay, EventRelay::next_frame);
         response.map(|()| StreamBody::new(frames).boxed_unsync())
@@ -126,202 +130,218 @@
 
     async fn next_frame(mut self) -> Option<(Result<Frame<Bytes>, RelayError>, Self)> {
         loop {
-            if self.finished {
+            if self.is_finished {
                 return None;
             }
-            let Some(answer) = self.answer.as_mut() else {
-                return self.resume_or_break().await;
+            let Some(response) = self.response.as_mut() else {
+                return self.resume_or_interrupt().await;
             };
-            let frame = frame_before(&mut answer.body, self.pauses.stalled_at());
-            let life_end = answer.guard.restart_token.clone();
+            let frame = frame_or_stall(&mut response.body, self.stall_detector.stalled_at());
+            let restart_token = response.guard.restart_token.clone();
             let frame = tokio::select! {
                 biased;
-                frame = self.context.clock.timeout_at(self.call.until, frame) => frame,
-                () = life_end.cancelled() => {
-                    self.drop_answer(SERVER_RESTARTED);
+                frame = self.context.clock.timeout_at(self.call.deadline, frame) => frame,
+                () = restart_token.cancelled() => {
+                    self.drop_response(SERVER_RESTARTED);
                     continue;
                 }
             };
             match frame {
-                Ok(Err(Silence)) => self.note_silence(),
-                Err(TimeOver) => return Some(self.break_off("timed_out")),
+                Ok(Err(Stalled)) => self.handle_stall(),
+                Err(TimeOver) => return Some(self.interrupt("timed_out")),
                 Ok(Ok(Some(Ok(frame)))) => {
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    self.pauses.note_bytes(Instant::now());
+                    self.stall_detector.note_bytes(Instant::now());
                     let batch = self.split(&data);
                     if !batch.bytes.is_empty() {
-                        self.note_events(&batch);
+                        self.record_events(&batch);
                         return Some((Ok(Frame::data(batch.bytes)), self));
                     }
                 }
                 Ok(Ok(Some(Err(_)))) => {
-                    self.drop_answer(RESPONSE_INTERRUPTED);
+                    self.drop_response(RESPONSE_INTERRUPTED);
                 }
-                Ok(Ok(None)) => return self.finish(),
+                Ok(Ok(None)) => return self.complete(),
             }
         }
     }
 
-    /// Takes bytes and returns the events that are whole by now, or the
-    /// beginning of one that there is no room to keep back.
+    /// Appends bytes and returns the complete events, or the beginning of an event
+    /// that the byte budget has no room to buffer.
     fn split(&mut self, data: &[u8]) -> EventBatch {
         let mut batch = self.splitter.push(data);
         let pending = self.splitter.pending();
-        let counted = if pending > FREE_PENDING { pending } else { 0 };
-        let fits = self.held.resize(counted).is_ok();
+        let counted_bytes = if pending > UNCOUNTED_PENDING_BYTES {
+            pending
+        } else {
+            0
+        };
+        let fits = self.reservation.resize(counted_bytes).is_ok();
         if !fits && batch.bytes.is_empty() {
             batch.bytes = self.splitter.flush_partial();
-            // Giving back always succeeds.
-            let _ = self.held.resize(0);
+            // Releasing bytes always succeeds.
+            let _ = self.reservation.resize(0);
         }
         batch
     }
 
-    /// Returns whether the stream may go on at another backend server. Within
-    /// an event it may not: the caller would join parts of two.
+    /// Returns whether the stream may resume at another backend server. It may not
+    /// within an event: the caller would join parts of two events.
     fn may_resume(&self) -> bool {
-        !self.splitter.is_inside_event() && self.plan.may_run_again(&self.call)
+        !self.splitter.is_inside_event() && self.retry_state.may_retry(&self.call)
     }
 
-    fn logs(&self, class: LineClass) -> bool {
+    fn may_log(&self, class: LineClass) -> bool {
         self.context.may_log(&self.call.head.id.0, class)
     }
 
-    fn note_events(&mut self, batch: &EventBatch) {
-        if self.first_event_after.is_none() {
+    fn record_events(&mut self, batch: &EventBatch) {
+        if self.first_event_delay.is_none() {
             count_usage(&self.context, self.call.account_name());
-            let after = self.call.taken();
-            self.first_event_after = Some(after);
-            histogram!("cloverbend_first_event_seconds").record(after.as_secs_f64());
+            let delay = self.call.elapsed();
+            self.first_event_delay = Some(delay);
+            histogram!("cloverbend_first_event_seconds").record(delay.as_secs_f64());
         }
-        if let Some(answer) = self.answer.as_mut() {
-            answer.guard.note_first_event();
+        if let Some(response) = self.response.as_mut() {
+            response.guard.note_first_event();
         }
         self.events += batch.count;
         self.last_event = batch.last_id.or(self.last_event);
     }
 
-    /// Gives a silent stream up if it may go on at another backend server. Else
-    /// it is kept: silence alone does not end what cannot go on elsewhere.
-    fn note_silence(&mut self) {
-        let may_move = self.may_resume()
-            && has_other_server(&self.context, &self.call, &self.plan)
-            && self.plan.take_budget(&self.context, &self.call);
-        if may_move {
-            self.drop_answer("silent");
-            self.resume_paid = true;
+    /// Drops a stalled response if the stream may resume at another backend
+    /// server. Otherwise keeps waiting: the stalled response may still continue.
+    fn handle_stall(&mut self) {
+        let can_resume = self.may_resume()
+            && has_other_backend(&self.context, &self.call, &self.retry_state)
+            && self
+                .retry_state
+                .take_retry_budget(&self.context, &self.call);
+        if can_resume {
+            self.drop_response("silent");
+            self.has_resume_budget = true;
         } else {
-            self.pauses.disarm();
+            self.stall_detector.disarm();
         }
     }
 
-    fn drop_answer(&mut self, word: &str) {
-        let Some(answer) = self.answer.take() else {
+    fn drop_response(&mut self, outcome: &str) {
+        let Some(response) = self.response.take() else {
             return;
         };
-        let backend = answer.guard.backend();
+        let backend = response.guard.backend();
         note_outcome(&self.context, backend, BackendOutcome::Broken);
-        answer.guard.note_interrupted(word);
-        log_send(&self.context, &self.call, backend, word);
-        // The rest of an event is sent again by the next backend server.
-        self.splitter.take_rest();
-        // Giving back always succeeds.
-        let _ = self.held.resize(0);
+        response.guard.note_interrupted(outcome);
+        log_send_failed(&self.context, &self.call, backend, outcome);
+        // The next backend server sends the unfinished event again.
+        self.splitter.take_pending();
+        // Releasing bytes always succeeds.
+        let _ = self.reservation.resize(0);
     }
 
-    async fn resume_or_break(mut self) -> Option<(Result<Frame<Bytes>, RelayError>, Self)> {
-        let paid = std::mem::take(&mut self.resume_paid);
-        let again = paid || (self.may_resume() && self.plan.take_budget(&self.context, &self.call));
-        if !again {
-            return Some(self.break_off(RESPONSE_INTERRUPTED));
+    async fn resume_or_interrupt(mut self) -> Option<(Result<Frame<Bytes>, RelayError>, Self)> {
+        let has_budget = std::mem::take(&mut self.has_resume_budget);
+        let is_allowed = has_budget
+            || (self.may_resume()
+                && self
+                    .retry_state
+                    .take_retry_budget(&self.context, &self.call));
+        if !is_allowed {
+            return Some(self.interrupt(RESPONSE_INTERRUPTED));
         }
-        let resumed = next_send(&self.context, &self.call, &mut self.plan, self.last_event).await;
-        match resumed {
-            Ok(sent) if sent.exchange.response.status().is_success() => {
-                if self.logs(LineClass::Failure) {
+        let result = send_until_response(
+            &self.context,
+            &self.call,
+            &mut self.retry_state,
+            self.last_event,
+        )
+        .await;
+        match result {
+            Ok(backend_response) if backend_response.exchange.response.status().is_success() => {
+                if self.may_log(LineClass::Failure) {
                     info!(self.context.log, "stream resumed"; "request" => %self.call.head.id,
-                        "backend" => %sent.guard.backend(), "after_event" => self.last_event);
+                        "backend" => %backend_response.guard.backend(), "after_event" => self.last_event);
                 }
                 counter!("cloverbend_streams_resumed_total").increment(1);
-                self.answer = Some(open_answer(sent));
-                self.pauses.note_resumed(Instant::now());
+                self.response = Some(open_response(backend_response));
+                self.stall_detector.note_resumed(Instant::now());
                 let empty = Frame::data(Bytes::new());
                 Some((Ok(empty), self))
             }
-            Ok(_) => Some(self.break_off("resume_refused")),
-            Err(refusal) => Some(self.break_off(refusal.word())),
+            Ok(_) => Some(self.interrupt("resume_refused")),
+            Err(refusal) => Some(self.interrupt(refusal.code())),
         }
     }
 
-    fn break_off(mut self, word: &str) -> (Result<Frame<Bytes>, RelayError>, Self) {
+    fn interrupt(mut self, code: &str) -> (Result<Frame<Bytes>, RelayError>, Self) {
         counter!("cloverbend_streams_broken_total").increment(1);
-        if self.logs(LineClass::Failure) {
+        if self.may_log(LineClass::Failure) {
             info!(self.context.log, "stream broken off"; "request" => %self.call.head.id,
-                "reason" => word, "events" => self.events,
-                "after_ms" => self.call.taken().as_millis() as u64);
+                "reason" => code, "events" => self.events,
+                "after_ms" => self.call.elapsed().as_millis() as u64);
         }
-        self.finished = true;
-        self.answer = None;
-        let error = std::io::Error::other(format!("the stream broke off: {word}"));
+        self.is_finished = true;
+        self.response = None;
+        let error = std::io::Error::other(format!("the stream was interrupted: {code}"));
         (Err(error), self)
     }
 
-    fn finish(mut self) -> Option<(Result<Frame<Bytes>, RelayError>, Self)> {
-        self.finished = true;
-        let answer = self.answer.take()?;
-        let OpenAnswer {
+    fn complete(mut self) -> Option<(Result<Frame<Bytes>, RelayError>, Self)> {
+        self.is_finished = true;
+        let response = self.response.take()?;
+        let OpenResponse {
             connection,
             guard,
-            keep_idle,
+            keep_alive,
             ..
-        } = answer;
+        } = response;
         self.context
             .pool
-            .return_connection(guard.backend(), connection, keep_idle);
+            .return_connection(guard.backend(), connection, keep_alive);
         guard.note_completed();
         counter!("cloverbend_calls_answered_total").increment(1);
-        if self.logs(LineClass::Step) {
+        if self.may_log(LineClass::Step) {
             info!(self.context.log, "request answered"; "request" => %self.call.head.id,
                 "backend" => %guard.backend(), "events" => self.events,
-                "first_event_ms" => self.first_event_after.map(|after| after.as_millis() as u64),
-                "after_ms" => self.call.taken().as_millis() as u64);
+                "first_event_ms" => self.first_event_delay.map(|delay| delay.as_millis() as u64),
+                "after_ms" => self.call.elapsed().as_millis() as u64);
         }
-        let rest = self.splitter.take_rest();
-        (!rest.is_empty()).then(|| (Ok(Frame::data(rest)), self))
+        let pending = self.splitter.take_pending();
+        (!pending.is_empty()).then(|| (Ok(Frame::data(pending)), self))
     }
 }
 
 impl Drop for EventRelay {
     fn drop(&mut self) {
-        if !self.finished && self.logs(LineClass::Failure) {
+        if !self.is_finished && self.may_log(LineClass::Failure) {
             info!(self.context.log, "caller left"; "request" => %self.call.head.id,
                 "events" => self.events,
-                "after_ms" => self.call.taken().as_millis() as u64);
+                "after_ms" => self.call.elapsed().as_millis() as u64);
         }
     }
 }
 
-/// Nothing came for longer than a pause lasts.
-struct Silence;
+/// No bytes arrived until the stream counted as stalled.
+struct Stalled;
 
-/// Waits for the next frame until the stream counts as silent.
-async fn frame_before(
+/// Waits for the next frame until the stream counts as stalled.
+async fn frame_or_stall(
     body: &mut Incoming,
-    silent_at: Option<Instant>,
-) -> Result<Option<Result<Frame<Bytes>, hyper::Error>>, Silence> {
-    match silent_at {
+    stalled_at: Option<Instant>,
+) -> Result<Option<Result<Frame<Bytes>, hyper::Error>>, Stalled> {
+    match stalled_at {
         None => Ok(body.frame().await),
-        Some(at) => timeout_at(at, body.frame()).await.map_err(|_| Silence),
+        Some(at) => timeout_at(at, body.frame()).await.map_err(|_| Stalled),
     }
 }
 
-fn open_answer(sent: SentCall) -> OpenAnswer {
-    OpenAnswer {
-        body: sent.exchange.response.into_body(),
-        connection: sent.exchange.connection,
-        guard: sent.guard,
-        keep_idle: sent.answer.keep_alive,
+fn open_response(backend_response: BackendResponse) -> OpenResponse {
+    OpenResponse {
+        body: backend_response.exchange.response.into_body(),
+        connection: backend_response.exchange.connection,
+        guard: backend_response.guard,
+        keep_alive: backend_response.head.keep_alive,
     }
 }
--- a/lib/src/gateway/gateway_context.rs
+++ b/lib/src/gateway/gateway_context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway entry share.
+//! The state that all parts of a gateway entry share.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -47,62 +47,62 @@
 use crate::peer_link::PeerSender;
 use crate::quantity::Timestamp;
 
-/// The platform, as the gateway sees it.
+/// The gateway's interfaces to the platform.
 #[derive(Clone)]
 pub struct PlatformAdapters {
-    /// Formats of requests and documents.
+    /// The formats of requests and documents.
     pub format: Arc<dyn PlatformFormat>,
     /// The log store.
     pub store: Arc<dyn LogStore>,
-    /// Calls to the cloud.
+    /// The cloud API.
     pub cloud: Arc<dyn CloudApi>,
     /// The clocks of the VM.
     pub clock: Arc<dyn ClockSource>,
 }
 
-/// The tables and connections of one gateway entry.
+/// The shared tables and connections of one gateway entry.
 pub struct GatewayContext {
     /// The settings.
     pub settings: GatewaySettings,
     /// The time since the start of this process.
     pub clock: Arc<BootClock>,
-    /// This life of the entry.
+    /// This incarnation of the entry.
     pub incarnation: Incarnation,
-    /// The platform.
+    /// The interfaces to the platform.
     pub platform: PlatformAdapters,
-    /// The log.
+    /// The logger.
     pub log: Logger,
     /// The configuration.
     pub config: Mutex<ConfigFollower>,
-    /// The configuration on its way here from another entry.
+    /// Fetches the configuration from another entry.
     pub transfer: Mutex<DocumentFetcher>,
     /// The backend servers.
     pub backends: Mutex<BackendSet>,
-    /// The limits that backend servers have named.
+    /// The limits that backend servers reported.
     pub server_limits: Mutex<ServerLimits>,
-    /// The accounts' limits.
+    /// The limits of client accounts.
     pub account_limits: Mutex<AccountLimits>,
-    /// The budget of sends beyond the first.
+    /// The budget for retries.
     pub retry_budget: Mutex<RetryBudget>,
-    /// The work sent to each service.
+    /// The demand for each service.
     pub work: Mutex<WorkMeter>,
-    /// Requests that began to run.
+    /// The requests of each account that began to run.
     pub usage: Mutex<UsageTable>,
     /// The other entries.
     pub peers: Mutex<PeerTable>,
-    /// The lease.
+    /// The state of the lease.
     pub lease: Mutex<LeaseState>,
-    /// Held over each call to the store about the lease.
+    /// Locked during each call to the store about the lease.
     pub lease_call_lock: AsyncMutex<()>,
-    /// Held over each call to the cloud.
+    /// Locked during each call to the cloud.
     pub cloud_call_lock: AsyncMutex<()>,
-    /// Crashes of backend servers, and the requests that ran there.
+    /// The crashes of backend servers and the requests that ran there.
     pub crashes: Mutex<CrashLedger>,
-    /// Servers that are asked whether they crashed.
+    /// Probes backend servers that may have crashed.
     pub crash_detector: CrashDetector,
-    /// The bytes of bodies and whole answers that are held.
+    /// The budget for buffered bodies of requests and responses.
     pub byte_budget: Arc<ByteBudget>,
-    /// The lives of backend servers that have requests of this entry.
+    /// The incarnations of backend servers that have requests of this entry.
     pub incarnations: IncarnationTracker,
     /// Connections to backend servers.
     pub pool: BackendPool,
@@ -110,21 +110,21 @@
     pub links: PeerSender,
     /// The budget of log lines about requests.
     pub log_budget: Mutex<LogBudget>,
-    /// Changes of the list of backend servers that others told.
+    /// Counts the changes of backend servers that other entries reported.
     pub change_counts: Mutex<ChangeCounts>,
-    /// The backend servers that have counters of their own.
+    /// The backend servers that have their own metric labels.
     pub server_labels: ServerLabels,
-    /// Wakes the exchange of news.
+    /// Wakes the gossip task.
     pub gossip_due: Notify,
-    /// Ends all tasks.
+    /// Cancels all tasks.
     pub stop: CancellationToken,
-    leaving: AtomicBool,
+    draining: AtomicBool,
     refusing: AtomicBool,
-    has_answered: AtomicBool,
+    has_responded: AtomicBool,
     open_calls: AtomicUsize,
-    store_seen_us: AtomicU64,
-    /// Until when a call to the cloud that got no answer may still arrive.
-    open_call_until_us: AtomicU64,
+    store_response_us: AtomicU64,
+    /// Until when a call to the cloud without a response may still take effect.
+    pending_call_until_us: AtomicU64,
 }
 
 impl std::fmt::Debug for GatewayContext {
@@ -137,14 +137,14 @@
 }
 
 impl GatewayContext {
-    /// Builds the context of an entry that starts.
-    pub fn new(settings: GatewaySettings, edges: PlatformAdapters, log: Logger) -> Arc<Self> {
+    /// Builds the context of a starting entry.
+    pub fn new(settings: GatewaySettings, platform: PlatformAdapters, log: Logger) -> Arc<Self> {
         let stop = CancellationToken::new();
         let incarnation = Incarnation(rand::rng().random());
-        let clock = Arc::new(BootClock::new(Arc::clone(&edges.clock)));
+        let clock = Arc::new(BootClock::new(Arc::clone(&platform.clock)));
         Arc::new(Self {
             incarnation,
-            platform: edges,
+            platform,
             config: Mutex::new(ConfigFollower::new()),
             transfer: Mutex::new(DocumentFetcher::new()),
             backends: Mutex::new(BackendSet::new()),
@@ -163,7 +163,7 @@
             cloud_call_lock: AsyncMutex::new(()),
             crashes: Mutex::new(CrashLedger::new()),
             crash_detector: CrashDetector::new(),
-            byte_budget: Arc::new(ByteBudget::of_memory(settings.memory_mb)),
+            byte_budget: Arc::new(ByteBudget::from_memory_mb(settings.memory_mb)),
             incarnations: IncarnationTracker::new(),
             pool: BackendPool::new(Arc::clone(&clock)),
             links: PeerSender::new(stop.clone(), log.clone()),
@@ -172,12 +172,12 @@
             server_labels: ServerLabels::default(),
             gossip_due: Notify::new(),
             stop,
-            leaving: AtomicBool::new(false),
+            draining: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
-            has_answered: AtomicBool::new(false),
+            has_responded: AtomicBool::new(false),
             open_calls: AtomicUsize::new(0),
-            store_seen_us: AtomicU64::new(0),
-            open_call_until_us: AtomicU64::new(0),
+            store_response_us: AtomicU64::new(0),
+            pending_call_until_us: AtomicU64::new(0),
             clock,
             settings,
             log,
@@ -189,55 +189,56 @@
         self.clock.now()
     }
 
-    /// Returns whether a line about a request is within the log's budget.
+    /// Returns whether the log budget allows a line about a request.
     pub fn may_log(&self, request: &str, class: LineClass) -> bool {
         self.log_budget.lock().admit(self.now(), request, class)
     }
 
-    /// Returns the window of usage at this moment by the wall clock.
+    /// Returns the number of the current usage window by the wall clock.
     pub fn usage_window(&self) -> u64 {
-        let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        // A clock before 1970 is broken; its counts would be refused anyway.
-        let seconds = since.unwrap_or(Duration::ZERO).as_secs();
+        let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+        // A clock before 1970 is wrong; its counts would be refused anyway.
+        let seconds = unix_time.unwrap_or(Duration::ZERO).as_secs();
         seconds / self.settings.bounds.usage_window_s
     }
 
-    /// Notes that the store answered this entry.
+    /// Records a response of the store to this entry.
     pub fn note_store_response(&self) {
-        self.store_seen_us.store(self.now().0, Ordering::Relaxed);
+        self.store_response_us
+            .store(self.now().0, Ordering::Relaxed);
     }
 
-    /// Returns how long ago the store answered this entry.
+    /// Returns the time since the last response of the store to this entry.
     pub fn since_store_response(&self) -> Duration {
-        let seen = Timestamp(self.store_seen_us.load(Ordering::Relaxed));
-        self.now().since(seen)
+        let response_at = Timestamp(self.store_response_us.load(Ordering::Relaxed));
+        self.now().since(response_at)
     }
 
-    /// Notes that a call to the cloud got no answer, so that it may arrive until
-    /// its right has ended.
+    /// Records that a call to the cloud got no response. It may still take effect
+    /// until the lease that it was made under has expired.
     pub fn note_unanswered_call(&self, until: Timestamp) {
-        self.open_call_until_us
+        self.pending_call_until_us
             .fetch_max(until.0, Ordering::Relaxed);
     }
 
-    /// Returns whether a call to the cloud may still arrive.
+    /// Returns whether a call to the cloud may still take effect.
     pub fn has_pending_call(&self) -> bool {
-        self.now().0 < self.open_call_until_us.load(Ordering::Relaxed)
+        self.now().0 < self.pending_call_until_us.load(Ordering::Relaxed)
     }
 
-    /// Returns whether this entry calls itself ready.
+    /// Returns whether this entry reports itself as ready.
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && self.config.lock().adopted().is_some()
     }
 
-    /// Returns whether a planned stop has begun.
+    /// Returns whether this entry is draining for a planned stop.
     pub fn is_draining(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+        self.draining.load(Ordering::Relaxed)
     }
 
-    /// Begins a planned stop.
+    /// Starts draining for a planned stop.
     pub fn begin_draining(&self) {
-        self.leaving.store(true, Ordering::Relaxed);
+        self.draining.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether new requests are refused.
@@ -245,29 +246,29 @@
         self.refusing.load(Ordering::Relaxed)
     }
 
-    /// Refuses new requests from now on.
+    /// Starts refusing new requests.
     pub fn begin_refusing(&self) {
         self.refusing.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that a request was answered to the end. How long the first took
-    /// since the start is what callers feel of a restart.
+    /// Records a complete response. The time from the start of the process to the
+    /// first one shows how long a restart affects callers.
     pub fn note_first_response(&self) {
-        if self.has_answered.swap(true, Ordering::Relaxed) {
+        if self.has_responded.swap(true, Ordering::Relaxed) {
             return;
         }
-        let after = self.now().since(Timestamp(0));
-        histogram!("cloverbend_first_answer_seconds").record(after.as_secs_f64());
-        info!(self.log, "first request answered"; "after_ms" => after.as_millis() as u64);
+        let elapsed = self.now().since(Timestamp(0));
+        histogram!("cloverbend_first_answer_seconds").record(elapsed.as_secs_f64());
+        info!(self.log, "first request answered"; "after_ms" => elapsed.as_millis() as u64);
     }
 
-    /// Returns the number of requests that have no whole answer yet.
+    /// Returns the number of requests without a complete response.
     pub fn open_calls(&self) -> usize {
         self.open_calls.load(Ordering::Relaxed)
     }
 
     /// Counts a request as open until the guard is dropped.
-    pub fn open_call(self: &Arc<Self>) -> CallGuard {
+    pub fn track_call(self: &Arc<Self>) -> CallGuard {
         self.open_calls.fetch_add(1, Ordering::Relaxed);
         CallGuard {
             context: Arc::clone(self),
@@ -275,16 +276,23 @@
     }
 }
 
-/// How much longer than operators ask for a former holder waits to claim.
+/// How much longer than the setting `lease_ms` a former holder waits before it
+/// claims the lease again.
 const COOLDOWN_MARGIN: Duration = Duration::from_millis(1_000);
 
 fn new_lease(settings: &GatewaySettings, incarnation: Incarnation) -> LeaseState {
-    let terms = LeaseTimings::with_cooldown(settings.bounds.lease + COOLDOWN_MARGIN);
+    let timings = LeaseTimings::with_cooldown(settings.bounds.lease + COOLDOWN_MARGIN);
     let name = settings.name.clone();
-    LeaseState::new(Timestamp(0), name, incarnation, terms, settings.first_start)
+    LeaseState::new(
+        Timestamp(0),
+        name,
+        incarnation,
+        timings,
+        settings.first_start,
+    )
 }
 
-/// Counts a request as open.
+/// Counts a request as open until it is dropped.
 #[derive(Debug)]
 pub struct CallGuard {
     context: Arc<GatewayContext>,
--- a/lib/src/gateway/gateway_daemon.rs
+++ b/lib/src/gateway/gateway_daemon.rs
@@ -42,22 +42,22 @@
 use crate::quantity::Timestamp;
 use crate::wire::PeerMessage;
 
-/// How long after SIGTERM new requests are still served: the platform asks
-/// every second, and stops sending callers after two answers.
+/// How long after SIGTERM new requests are still served. The platform checks the
+/// readiness every second and stops sending callers after two failed checks.
 const SERVE_AFTER_STOP: Duration = Duration::from_millis(2_600);
-/// How long before the end of the grace the process ends by itself.
-const END_MARGIN: Duration = Duration::from_millis(400);
-/// The pause between looks at whether all requests have ended.
-const STOP_CHECK: Duration = Duration::from_millis(50);
-/// The pause between removals of old connections and windows of usage.
-const SWEEP_PAUSE: Duration = Duration::from_secs(1);
-/// The path of the metrics.
+/// How long before the end of the grace period the process exits by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// The interval of checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval of removing expired connections and old usage windows.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The path that serves the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 /// Why a gateway entry could not start.
 #[derive(Debug)]
 pub enum GatewayError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     Listen(SocketAddr, std::io::Error),
 }
 
@@ -78,64 +78,65 @@
 }
 
 impl GatewayDaemon {
-    /// Starts an entry. Must be called within a tokio runtime.
+    /// Starts an entry. Must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
     /// See [`GatewayError`].
     pub async fn start(
         settings: GatewaySettings,
-        edges: PlatformAdapters,
+        platform: PlatformAdapters,
         log: Logger,
     ) -> Result<Self, GatewayError> {
         metrics_export::install_metrics();
-        let callers = listen(settings.caller_address).await?;
-        let readiness = listen(settings.readiness_address).await?;
-        let peers = listen(settings.peer_address).await?;
-        let metrics = match settings.metrics_address {
+        let caller_listener = listen(settings.caller_address).await?;
+        let readiness_listener = listen(settings.readiness_address).await?;
+        let peer_listener = listen(settings.peer_address).await?;
+        let metrics_listener = match settings.metrics_address {
             Some(address) => Some(listen(address).await?),
             None => None,
         };
         let log = log.new(o!("entry" => settings.name.to_string()));
-        let context = GatewayContext::new(settings, edges, log);
+        let context = GatewayContext::new(settings, platform, log);
         info!(context.log, "starting"; "zone" => %context.settings.zone, "incarnation" => %context.incarnation,
             "callers" => %context.settings.caller_address);
-        serve_readiness(&context, readiness);
-        if let Some(listener) = metrics {
+        serve_readiness(&context, readiness_listener);
+        if let Some(listener) = metrics_listener {
             serve_metrics(&context, listener);
         }
-        serve_callers(&context, callers);
-        start_tasks(&context, peers);
+        serve_callers(&context, caller_listener);
+        start_tasks(&context, peer_listener);
         Ok(Self { context })
     }
 
-    /// Returns what the parts of this entry share.
+    /// Returns the shared state of this entry.
     pub fn context(&self) -> &Arc<GatewayContext> {
         &self.context
     }
 
-    /// Stops as planned: callers are first sent elsewhere, then open requests
-    /// end, at the latest shortly before the grace is over.
+    /// Stops the entry gracefully. It first reports that it is not ready and still
+    /// serves new requests, then refuses them and waits for open requests, at most
+    /// until shortly before the end of the grace period.
     pub async fn stop(self) {
         let context = self.context;
-        let begun = context.now();
+        let stop_began = context.now();
         let grace = context.settings.bounds.grace;
         context.begin_draining();
         info!(context.log, "stopping"; "open_requests" => context.open_calls(),
             "grace_ms" => grace.as_millis() as u64);
-        let serve = SERVE_AFTER_STOP.min(grace / 2);
-        tokio::time::sleep(serve).await;
+        let serve_time = SERVE_AFTER_STOP.min(grace / 2);
+        tokio::time::sleep(serve_time).await;
         context.begin_refusing();
-        let last = begun.after(grace.saturating_sub(END_MARGIN));
-        while context.open_calls() > 0 && context.now() < last {
-            tokio::time::sleep(STOP_CHECK).await;
+        let drain_end = stop_began.after(grace.saturating_sub(EXIT_MARGIN));
+        while context.open_calls() > 0 && context.now() < drain_end {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         info!(context.log, "stopped"; "open_requests" => context.open_calls(),
-            "after_ms" => context.now().since(begun).as_millis() as u64);
+            "after_ms" => context.now().since(stop_began).as_millis() as u64);
         context.stop.cancel();
     }
 
-    /// Ends the entry at once.
+    /// Stops the entry at once.
     pub fn kill(&self) {
         self.context.stop.cancel();
     }
@@ -154,9 +155,9 @@
         service_fn(move |request: Request<Incoming>| {
             let context = Arc::clone(&context);
             async move {
-                let open = context.open_call();
+                let call_guard = context.track_call();
                 let response = serve_call(context, request).await;
-                drop(open);
+                drop(call_guard);
                 Ok::<_, Infallible>(response)
             }
         })
@@ -190,7 +191,7 @@
                 (true, false) => StatusCode::SERVICE_UNAVAILABLE,
                 (false, _) => StatusCode::NOT_FOUND,
             };
-            async move { Ok::<_, Infallible>(short_answer(status, Bytes::new())) }
+            async move { Ok::<_, Infallible>(short_response(status, Bytes::new())) }
         })
     };
     spawn_server(context, listener, service);
@@ -203,9 +204,9 @@
             async move {
                 Ok::<_, Infallible>(if known {
                     let text = metrics_export::render_metrics();
-                    short_answer(StatusCode::OK, Bytes::from(text))
+                    short_response(StatusCode::OK, Bytes::from(text))
                 } else {
-                    short_answer(StatusCode::NOT_FOUND, Bytes::new())
+                    short_response(StatusCode::NOT_FOUND, Bytes::new())
                 })
             }
         })
@@ -213,26 +214,26 @@
     spawn_server(context, listener, service);
 }
 
-fn short_answer(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
+fn short_response(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     response
 }
 
-fn start_tasks(context: &Arc<GatewayContext>, peers: TcpListener) {
-    let receiving = Arc::clone(context);
-    let receive = move |message| receive_message(&receiving, message);
+fn start_tasks(context: &Arc<GatewayContext>, peer_listener: TcpListener) {
+    let message_context = Arc::clone(context);
+    let receive = move |message| receive_message(&message_context, message);
     let (stop, log) = (context.stop.clone(), context.log.clone());
-    tokio::spawn(receive_frames(peers, stop, log, receive));
-    let share = || Arc::clone(context);
-    spawn_until_stop(&context.stop, follow_config(share()));
-    spawn_until_stop(&context.stop, follow_backends(share()));
-    spawn_until_stop(&context.stop, discover_entries(share()));
-    spawn_until_stop(&context.stop, run_gossip(share()));
-    spawn_until_stop(&context.stop, maintain_lease(share()));
-    spawn_until_stop(&context.stop, run_duties(share()));
-    spawn_until_stop(&context.stop, read_without_lease(share()));
-    spawn_until_stop(&context.stop, sweep(share()));
+    tokio::spawn(receive_frames(peer_listener, stop, log, receive));
+    let shared_context = || Arc::clone(context);
+    spawn_until_stop(&context.stop, follow_config(shared_context()));
+    spawn_until_stop(&context.stop, follow_backends(shared_context()));
+    spawn_until_stop(&context.stop, discover_entries(shared_context()));
+    spawn_until_stop(&context.stop, run_gossip(shared_context()));
+    spawn_until_stop(&context.stop, maintain_lease(shared_context()));
+    spawn_until_stop(&context.stop, run_duties(shared_context()));
+    spawn_until_stop(&context.stop, read_without_lease(shared_context()));
+    spawn_until_stop(&context.stop, sweep(shared_context()));
 }
 
 fn receive_message(context: &GatewayContext, message: PeerMessage) {
@@ -247,10 +248,10 @@
 async fn sweep(context: Arc<GatewayContext>) {
     let mut sizes = SizeReporter::default();
     loop {
-        tokio::time::sleep(SWEEP_PAUSE).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         context.pool.sweep();
         context.config.lock().drop_unrequested(context.now());
-        // An entry that counts nothing itself still hears what others counted.
+        // An entry without usage of its own still receives the counts of others.
         let window = context.usage_window();
         context.usage.lock().drop_old(window);
         context.crashes.lock().drop_old(context.now());
@@ -259,29 +260,30 @@
             counter!("cloverbend_log_lines_dropped_total").increment(dropped);
             info!(context.log, "log lines dropped"; "lines" => dropped);
         }
-        let heard = context.change_counts.lock().take();
-        if let Some(heard) = heard {
-            info!(context.log, "backend servers heard of"; "joined" => heard.joined,
-                "leaving" => heard.draining, "gone" => heard.gone);
+        let change_counts = context.change_counts.lock().take();
+        if let Some(change_counts) = change_counts {
+            info!(context.log, "backend server changes received"; "joined" => change_counts.joined,
+                "leaving" => change_counts.draining, "gone" => change_counts.gone);
         }
-        note_gauges(&context, &mut sizes);
+        record_gauges(&context, &mut sizes);
         metrics_export::run_upkeep();
     }
 }
 
-/// Sets the gauges: ages of knowledge in seconds, and sizes of tables.
-fn note_gauges(context: &GatewayContext, sizes: &mut SizeReporter) {
+/// Sets the gauges: ages of the configuration and the backend list in seconds,
+/// and sizes of tables.
+fn record_gauges(context: &GatewayContext, sizes: &mut SizeReporter) {
     let now = context.now();
     let seconds = |at: Option<Timestamp>| at.map_or(-1.0, |at| now.since(at).as_secs_f64());
-    let config_at = context.config.lock().confirmed_at();
-    gauge!("cloverbend_config_age_seconds").set(seconds(config_at));
+    let confirmed_at = context.config.lock().confirmed_at();
+    gauge!("cloverbend_config_age_seconds").set(seconds(confirmed_at));
     let backends = context.backends.lock();
     gauge!("cloverbend_backends_age_seconds").set(seconds(backends.confirmed_at()));
     gauge!("cloverbend_backends").set(backends.iter().count() as f64);
     drop(backends);
-    let view = context.peers.lock().entry_counts(now);
-    gauge!("cloverbend_entries").set(view.entries as f64);
-    gauge!("cloverbend_entries_heard").set(view.reachable as f64);
+    let entry_counts = context.peers.lock().entry_counts(now);
+    gauge!("cloverbend_entries").set(entry_counts.entries as f64);
+    gauge!("cloverbend_entries_heard").set(entry_counts.reachable as f64);
     gauge!("cloverbend_open_requests").set(context.open_calls() as f64);
     gauge!("cloverbend_held_bytes").set(context.byte_budget.used() as f64);
     gauge!("cloverbend_backend_idle_connections").set(context.pool.idle_count() as f64);
@@ -290,8 +292,8 @@
     gauge!("cloverbend_suspended_seconds").set(context.clock.suspended().as_secs_f64());
     let fatal = context.crashes.lock().fatal_count();
     gauge!("cloverbend_fatal_requests").set(fatal as f64);
-    let holds = context.lease.lock().valid_lease(now).is_some();
-    gauge!("cloverbend_lease_held").set(f64::from(u8::from(holds)));
+    let has_lease = context.lease.lock().valid_lease(now).is_some();
+    gauge!("cloverbend_lease_held").set(f64::from(u8::from(has_lease)));
     sizes.report(context);
 }
 
--- a/lib/src/gateway/gateway_settings.rs
+++ b/lib/src/gateway/gateway_settings.rs
@@ -212,26 +212,26 @@
     LOG_LEVEL,
 ];
 
-/// Times and rates that operators are promised.
+/// The times and rates that the gateway guarantees to operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GatewayBounds {
-    /// How long after its removal a key may still work.
+    /// How long after its revocation a key may still work.
     pub key_age: Duration,
-    /// Whether requests with a key are refused while that cannot be ensured.
+    /// Whether requests with a key are refused while `key_age` cannot be ensured.
     pub fail_closed: bool,
-    /// How long a leaving backend server may get new work.
+    /// How long a draining backend server may get new requests.
     pub drain: Duration,
-    /// How long a new configuration may take to be in force everywhere.
+    /// How long a new configuration may take until every entry uses it.
     pub config_apply: Duration,
-    /// The time from SIGTERM to the end of the process.
+    /// The grace period: the time from SIGTERM to the end of the process.
     pub grace: Duration,
-    /// How long a holder that lost the lease takes no other.
+    /// How long an entry that lost the lease must not claim it again.
     pub lease: Duration,
-    /// The bound on sends beyond the first.
+    /// The bound on retries.
     pub resend: RetryBudgetRule,
-    /// How far accounts may go beyond their limits.
+    /// How far accounts may exceed their limits.
     pub limit_slack: LimitSlack,
-    /// The length of a window of usage, in seconds.
+    /// The length of a usage window in seconds.
     pub usage_window_s: u64,
 }
 
@@ -240,40 +240,41 @@
 pub struct GatewaySettings {
     /// The name of this entry VM.
     pub name: EntryName,
-    /// Its availability zone.
+    /// The availability zone of this entry VM.
     pub zone: ZoneName,
     /// The address for callers.
     pub caller_address: SocketAddr,
-    /// The address that says whether this entry is ready.
+    /// The address of the readiness check.
     pub readiness_address: SocketAddr,
     /// The address for other entries.
     pub peer_address: SocketAddr,
     /// The address under which other entries reach this one.
     pub peer_advertised: SocketAddr,
-    /// The address of the metrics, if they are served.
+    /// The address for the metrics, if they are served.
     pub metrics_address: Option<SocketAddr>,
-    /// How much this VM can carry as a hub.
+    /// The capacity of this VM as a hub.
     pub hub_capacity: HubCapacity,
     /// The memory that the process may use, in megabytes.
     pub memory_mb: f64,
     /// Whether all entries start for the first time.
     pub first_start: bool,
-    /// The log store.
+    /// The address of the log store.
     pub store_address: SocketAddr,
-    /// What the store gives to all readers together, in megabytes a second.
+    /// The read throughput of the store for all readers together, in megabytes per
+    /// second.
     pub store_read_mb_s: f64,
-    /// The cloud's interface.
+    /// The address of the cloud API.
     pub cloud_address: SocketAddr,
-    /// What operators are promised.
+    /// The guarantees to operators.
     pub bounds: GatewayBounds,
-    /// The form of log lines.
+    /// The format of log lines.
     pub log_format: LogFormat,
-    /// The least severe level logged.
+    /// The least severe level that is logged.
     pub log_level: LogLevel,
 }
 
 impl GatewaySettings {
-    /// Parses the text of a settings file. `file` is only used to name places.
+    /// Parses the text of a settings file. `file` only names it in error messages.
     ///
     /// # Errors
     ///
@@ -295,9 +296,9 @@
     let cpu_share: Option<f64> = reader.defaulted("gateway", "cpu_share");
     let memory_mb = reader.defaulted("gateway", "memory_mb");
     let first_start = reader.defaulted("gateway", "first_start");
-    let store = reader.required("store", "address");
+    let store_address = reader.required("store", "address");
     let store_read_mb_s = reader.defaulted("store", "read_mb_s");
-    let cloud = reader.required("cloud", "address");
+    let cloud_address = reader.required("cloud", "address");
     let bounds = read_bounds(reader);
     let log_format = reader.defaulted("log", "format");
     let log_level = reader.defaulted("log", "level");
@@ -312,9 +313,9 @@
         hub_capacity: HubCapacity::of(link_mbps?, cpu_share?),
         memory_mb: memory_mb?,
         first_start: first_start?,
-        store_address: store?,
+        store_address: store_address?,
         store_read_mb_s: store_read_mb_s?,
-        cloud_address: cloud?,
+        cloud_address: cloud_address?,
         bounds: bounds?,
         log_format: log_format?,
         log_level: log_level?,
--- a/lib/src/gateway/mod.rs
+++ b/lib/src/gateway/mod.rs
@@ -1,34 +1,46 @@
 //! The gateway: one pipeline from a caller's request to a backend server.
 //!
-//! A request passes the modules in this order: [`call_service`] (begins and
-//! ends it), [`call_head`] (what the caller asked), [`call_admission`] with
-//! [`site_config`] (its route, its client account), [`call_body`] and
-//! [`account_limits`] (its account's rate), [`call_dispatch`] (sending, and
-//! sending again where that is safe) with [`backend_choice`] (which backend
-//! server) and [`backend_pool`] (a connection), and then one of three:
-//! [`event_relay`] (passing events on), [`response_body`] (holding an answer
-//! until it is whole) or [`response_passthrough`] (passing on one that can't be
-//! held). What is refused on the way ends as a [`call_refusal`]. What is held
-//! of bodies and answers is taken from the budget of [`held_bytes`].
+//! A request goes through these modules in order:
 //!
-//! Beside it run tasks that keep beliefs fresh: [`store_task`] follows the
-//! configuration and the backend servers, [`gossip_task`] exchanges news with
-//! other entries and gets the configuration from them with
-//! [`document_transfer`], [`lease_task`] takes and keeps the lease of the duties
-//! ([`lease_state`], [`duty_log`]), and [`duty_task`] reports usage and orders replicas with
-//! [`replica_scaler`] while this entry has the right to.
+//! 1. [`call_service`] receives the request and builds the response.
+//! 2. [`call_head`] is the decoded head of the request.
+//! 3. [`call_admission`] finds the route and the client account in
+//!    [`site_config`], reads the body with [`call_body`] and charges the account
+//!    with [`account_limits`].
+//! 4. [`call_dispatch`] sends the request, and retries it where that is safe.
+//!    [`backend_choice`] chooses the backend server, and [`backend_pool`] provides
+//!    the connection.
+//! 5. One of three modules handles the response: [`event_relay`] relays event
+//!    streams, [`response_body`] buffers a response until it is complete, and
+//!    [`response_passthrough`] passes on a response that cannot be buffered.
 //!
-//! What crashes the servers that run it is refused: [`crash_detector`] notes which requests ran
-//! where a server crashed, [`crash_ledger`] keeps it and [`crash_verdict`] finds the cause.
+//! A request that is refused ends with a [`call_refusal`]. Buffered bodies of
+//! requests and responses count in the [`byte_budget`].
 //!
-//! What servers say of themselves in answers is read by [`report_handler`]. Limits that they name are
-//! kept in [`server_limits`], told to all by [`limit_exchange`], and kept by permits that the
-//! [`permit_issuer`] of a hub gives out.
+//! Background tasks keep the state of the entry up to date:
 //!
-//! The formats of the platform stand behind the traits of [`edge`].
+//! - [`store_task`] follows the configuration and the backend servers in the log
+//!   store.
+//! - [`gossip_task`] exchanges gossip with other entries and fetches the
+//!   configuration from them with [`document_transfer`].
+//! - [`lease_task`] claims and renews the lease ([`lease_state`], [`duty_log`]).
+//! - [`duty_task`] reports usage and orders replicas with [`replica_scaler`] while
+//!   this entry holds a valid lease.
 //!
-//! Lock order: `config`, `transfer`, `backends`, `server_limits`, `limits`, `usage`, `peers`, `duties`, `crashes`.
-//! None is held across an await.
+//! Requests that crash backend servers are refused: [`crash_detector`] records
+//! which requests ran on a crashed server, [`crash_ledger`] stores these runs, and
+//! [`crash_verdict`] finds the cause.
+//!
+//! [`report_handler`] reads what backend servers report of themselves in
+//! responses. [`server_limits`] stores the limits that they report, and
+//! [`limit_exchange`] sends them to all entries. The [`permit_issuer`] of a hub
+//! divides each limit among the entries by permits.
+//!
+//! The traits in [`platform_interface`] hide the formats of the platform.
+//!
+//! Lock order in [`gateway_context`]: `config`, `transfer`, `backends`,
+//! `server_limits`, `account_limits`, `usage`, `peers`, `lease`, `crashes`. No
+//! lock is held across an await.
 
 pub mod account_limits;
 pub mod account_use;
--- a/lib/src/gateway/response_body.rs
+++ b/lib/src/gateway/response_body.rs
@@ -1,4 +1,4 @@
-//! Collects the body of a backend server's answer, as far as it can be held.
+//! Buffers the body of a backend server's response, if the limits allow it.
 
 use std::sync::Arc;
 
@@ -7,26 +7,26 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 
+use crate::gateway::byte_budget::BudgetedBuffer;
 use crate::gateway::byte_budget::ByteBudget;
-use crate::gateway::byte_budget::HeldBuffer;
 
-/// The largest answer that is held whole, in bytes, before any of it is passed
-/// on: well above whole generations, which are some bytes a token, so that
-/// these can still be had elsewhere when their server breaks off.
-const MAX_HELD_ANSWER: usize = 1_048_576;
+/// The largest response that is buffered before any of it is passed on. Whole
+/// generations, at some bytes per token, are well below it, so that they can be
+/// retried when their backend server fails.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 1_048_576;
 
-/// Why an answer is not held whole.
+/// Why a response is passed through instead of buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PassageCause {
-    /// It is larger than what is held.
+pub enum PassthroughCause {
+    /// It is too large to be buffered.
     Large,
-    /// The budget has no room for it.
+    /// The byte budget has no room for it.
     NoRoom,
 }
 
-impl PassageCause {
-    /// Returns the word that stands for the cause in metrics.
-    pub fn word(self) -> &'static str {
+impl PassthroughCause {
+    /// Returns the label of the cause in metrics.
+    pub fn label(self) -> &'static str {
         match self {
             Self::Large => "large",
             Self::NoRoom => "no_room",
@@ -34,57 +34,57 @@
     }
 }
 
-/// An answer of which more is to come.
+/// The beginning of a response body.
 #[derive(Debug)]
-pub struct BegunBody {
-    /// What was read, in order.
-    pub read: [Bytes; 2],
-    /// The length of the whole, if the backend server told it.
+pub struct PartialBody {
+    /// The bytes that were read, in order.
+    pub chunks: [Bytes; 2],
+    /// The length of the whole body, if the backend server sent it.
     pub length: Option<u64>,
-    /// Why the rest was not read.
-    pub cause: PassageCause,
+    /// Why the rest is not buffered.
+    pub cause: PassthroughCause,
 }
 
-/// What was read of an answer.
+/// The part of a response body that was read.
 #[derive(Debug)]
-pub enum AnswerBody {
-    /// All of it.
-    Whole(Bytes),
-    /// Its beginning.
-    Begun(BegunBody),
+pub enum ResponseBody {
+    /// The whole body.
+    Complete(Bytes),
+    /// The beginning of the body.
+    Partial(PartialBody),
 }
 
-/// Reads an answer until it is whole or can't be held.
+/// Reads a response body until it is complete or can no longer be buffered.
 ///
 /// # Errors
 ///
-/// The answer broke off.
-pub async fn collect_body(
+/// The connection failed before the end of the body.
+pub async fn collect_response_body(
     budget: &Arc<ByteBudget>,
     body: &mut Incoming,
-) -> Result<AnswerBody, hyper::Error> {
+) -> Result<ResponseBody, hyper::Error> {
     let length = body.size_hint().exact();
-    let begun = |read, cause| {
-        Ok(AnswerBody::Begun(BegunBody {
-            read,
+    let partial = |chunks, cause| {
+        Ok(ResponseBody::Partial(PartialBody {
+            chunks,
             length,
             cause,
         }))
     };
-    let mut buffer = HeldBuffer::new(budget);
-    if length.is_some_and(|length| length > MAX_HELD_ANSWER as u64) {
-        return begun([Bytes::new(), Bytes::new()], PassageCause::Large);
+    let mut buffer = BudgetedBuffer::new(budget);
+    if length.is_some_and(|length| length > MAX_BUFFERED_RESPONSE_BYTES as u64) {
+        return partial([Bytes::new(), Bytes::new()], PassthroughCause::Large);
     }
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        if buffer.len() + data.len() > MAX_HELD_ANSWER {
-            return begun([buffer.freeze(), data], PassageCause::Large);
+        if buffer.len() + data.len() > MAX_BUFFERED_RESPONSE_BYTES {
+            return partial([buffer.freeze(), data], PassthroughCause::Large);
         }
         if buffer.push(&data).is_err() {
-            return begun([buffer.freeze(), data], PassageCause::NoRoom);
+            return partial([buffer.freeze(), data], PassthroughCause::NoRoom);
         }
     }
-    Ok(AnswerBody::Whole(buffer.freeze()))
+    Ok(ResponseBody::Complete(buffer.freeze()))
 }
--- a/lib/src/gateway/response_passthrough.rs
+++ b/lib/src/gateway/response_passthrough.rs
@@ -1,7 +1,8 @@
-//! Passes an answer on as it comes that cannot be held whole.
+//! Passes a response through to the caller if it cannot be buffered.
 //!
-//! It has begun at the caller, so it cannot be had elsewhere any more. Where
-//! it breaks off, the caller's connection closes without an end of the body.
+//! The caller has received the beginning, so the request cannot be retried. If
+//! the response is interrupted, the connection to the caller is closed before the
+//! end of the body.
 
 use std::sync::Arc;
 
@@ -21,153 +22,162 @@
 
 use crate::gateway::backend_record::BackendOutcome;
 use crate::gateway::call_admission::AdmittedCall;
-use crate::gateway::call_admission::onward_headers;
-use crate::gateway::call_dispatch::SentCall;
-use crate::gateway::call_log::log_end;
-use crate::gateway::call_log::log_send;
+use crate::gateway::call_admission::strip_hop_headers;
+use crate::gateway::call_dispatch::BackendResponse;
+use crate::gateway::call_log::log_request_answered;
+use crate::gateway::call_log::log_send_failed;
 use crate::gateway::call_log::note_outcome;
-use crate::gateway::event_relay::CallBody;
+use crate::gateway::event_relay::CallerBody;
 use crate::gateway::event_relay::RelayError;
 use crate::gateway::gateway_context::CallGuard;
 use crate::gateway::gateway_context::GatewayContext;
 use crate::gateway::log_budget::LineClass;
-use crate::gateway::response_body::BegunBody;
+use crate::gateway::response_body::PartialBody;
 use crate::gateway::send_guard::RESPONSE_INTERRUPTED;
 use crate::gateway::send_guard::SERVER_RESTARTED;
 
-/// Passes one answer on.
-pub struct AnswerPassage {
+/// The body of a response that is passed through.
+pub struct ResponsePassthrough {
     context: Arc<GatewayContext>,
     call: AdmittedCall,
     status: StatusCode,
-    /// What was read before the passage began, in order.
-    read: std::array::IntoIter<Bytes, 2>,
-    sent: Option<SentCall>,
-    _open: CallGuard,
+    /// The bytes that were read before the passthrough began, in order.
+    chunks: std::array::IntoIter<Bytes, 2>,
+    backend_response: Option<BackendResponse>,
+    _call_guard: CallGuard,
 }
 
-type PassedFrame = (Result<Frame<Bytes>, RelayError>, AnswerPassage);
+type PassthroughFrame = (Result<Frame<Bytes>, RelayError>, ResponsePassthrough);
 
-impl AnswerPassage {
-    /// Builds the answer to the caller.
+impl ResponsePassthrough {
+    /// Builds the response to the caller.
     pub fn start(
         context: Arc<GatewayContext>,
         call: AdmittedCall,
-        sent: SentCall,
-        begun: BegunBody,
-    ) -> Response<CallBody> {
+        backend_response: BackendResponse,
+        partial: PartialBody,
+    ) -> Response<CallerBody> {
         let mut call = call;
-        call.let_go_of_body();
-        let cause = begun.cause.word();
+        call.release_body();
+        let cause = partial.cause.label();
         counter!("cloverbend_answers_not_held_total", "cause" => cause).increment(1);
-        let head = &sent.exchange.response;
+        let head = &backend_response.exchange.response;
         let status = head.status();
-        let mut headers = onward_headers(head.headers().clone());
-        // A length that was told shows where the answer ends.
-        if let Some(length) = begun.length {
+        let mut headers = strip_hop_headers(head.headers().clone());
+        // With the length, the caller can detect an interrupted body.
+        if let Some(length) = partial.length {
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         }
-        let passage = Self {
-            _open: context.open_call(),
+        let passthrough = Self {
+            _call_guard: context.track_call(),
             context,
             call,
             status,
-            read: begun.read.into_iter(),
-            sent: Some(sent),
+            chunks: partial.chunks.into_iter(),
+            backend_response: Some(backend_response),
         };
-        let frames = stream::unfold(passage, Self::next_frame);
+        let frames = stream::unfold(passthrough, Self::next_frame);
         let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response
     }
 
-    async fn next_frame(mut self) -> Option<PassedFrame> {
-        if let Some(bytes) = self.read.find(|bytes| !bytes.is_empty()) {
-            return Some(self.pass(bytes));
+    async fn next_frame(mut self) -> Option<PassthroughFrame> {
+        if let Some(bytes) = self.chunks.find(|bytes| !bytes.is_empty()) {
+            return Some(self.forward(bytes));
         }
         loop {
-            let sent = self.sent.as_mut()?;
-            let life_end = sent.guard.restart_token.clone();
-            let body = sent.exchange.response.body_mut();
+            let backend_response = self.backend_response.as_mut()?;
+            let restart_token = backend_response.guard.restart_token.clone();
+            let body = backend_response.exchange.response.body_mut();
             let frame = tokio::select! {
                 biased;
-                frame = self.context.clock.timeout_at(self.call.until, body.frame()) => frame,
-                () = life_end.cancelled() => {
-                    let sent = self.sent.take()?;
-                    sent.guard.note_interrupted(SERVER_RESTARTED);
-                    return Some(self.break_off(&sent, SERVER_RESTARTED));
+                frame = self.context.clock.timeout_at(self.call.deadline, body.frame()) => frame,
+                () = restart_token.cancelled() => {
+                    let backend_response = self.backend_response.take()?;
+                    backend_response.guard.note_interrupted(SERVER_RESTARTED);
+                    return Some(self.interrupt(&backend_response, SERVER_RESTARTED));
                 }
             };
             match frame {
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
-                        return Some(self.pass(data));
+                        return Some(self.forward(data));
                     }
                 }
                 Ok(Some(Err(_))) => {
-                    let sent = self.sent.take()?;
-                    let backend = sent.guard.backend();
+                    let backend_response = self.backend_response.take()?;
+                    let backend = backend_response.guard.backend();
                     note_outcome(&self.context, backend, BackendOutcome::Broken);
-                    sent.guard.note_interrupted(RESPONSE_INTERRUPTED);
-                    return Some(self.break_off(&sent, RESPONSE_INTERRUPTED));
+                    backend_response
+                        .guard
+                        .note_interrupted(RESPONSE_INTERRUPTED);
+                    return Some(self.interrupt(&backend_response, RESPONSE_INTERRUPTED));
                 }
                 Err(_) => {
-                    let sent = self.sent.take()?;
-                    return Some(self.break_off(&sent, "timed_out"));
+                    let backend_response = self.backend_response.take()?;
+                    return Some(self.interrupt(&backend_response, "timed_out"));
                 }
                 Ok(None) => {
-                    self.finish();
+                    self.complete();
                     return None;
                 }
             }
         }
     }
 
-    /// Passes bytes on. After the last ones of a length that was told, hyper
-    /// asks for nothing more.
-    fn pass(mut self, bytes: Bytes) -> PassedFrame {
-        let all_read = self.read.as_slice().iter().all(Bytes::is_empty);
-        let sent = self.sent.as_ref();
-        let ended = sent.is_some_and(|sent| sent.exchange.response.body().is_end_stream());
-        if all_read && ended {
-            self.finish();
+    /// Passes bytes on. If the length is known, hyper does not poll again after
+    /// the last bytes, so this also completes the response.
+    fn forward(mut self, bytes: Bytes) -> PassthroughFrame {
+        let all_forwarded = self.chunks.as_slice().iter().all(Bytes::is_empty);
+        let backend_response = self.backend_response.as_ref();
+        let is_complete = backend_response.is_some_and(|backend_response| {
+            backend_response.exchange.response.body().is_end_stream()
+        });
+        if all_forwarded && is_complete {
+            self.complete();
         }
         (Ok(Frame::data(bytes)), self)
     }
 
-    fn break_off(self, sent: &SentCall, word: &str) -> PassedFrame {
-        log_send(&self.context, &self.call, sent.guard.backend(), word);
-        let error = std::io::Error::other(format!("the answer broke off: {word}"));
+    fn interrupt(self, backend_response: &BackendResponse, outcome: &str) -> PassthroughFrame {
+        log_send_failed(
+            &self.context,
+            &self.call,
+            backend_response.guard.backend(),
+            outcome,
+        );
+        let error = std::io::Error::other(format!("the response was interrupted: {outcome}"));
         (Err(error), self)
     }
 
-    fn finish(&mut self) {
-        let Some(sent) = self.sent.take() else {
+    fn complete(&mut self) {
+        let Some(backend_response) = self.backend_response.take() else {
             return;
         };
-        sent.guard.note_completed();
-        let backend = sent.guard.backend();
-        let connection = sent.exchange.connection;
+        backend_response.guard.note_completed();
+        let backend = backend_response.guard.backend();
+        let connection = backend_response.exchange.connection;
         self.context
             .pool
-            .return_connection(backend, connection, sent.answer.keep_alive);
-        let took = self.call.taken();
-        histogram!("cloverbend_answer_seconds").record(took.as_secs_f64());
-        log_end(&self.context, &self.call, backend, self.status);
+            .return_connection(backend, connection, backend_response.head.keep_alive);
+        let elapsed = self.call.elapsed();
+        histogram!("cloverbend_answer_seconds").record(elapsed.as_secs_f64());
+        log_request_answered(&self.context, &self.call, backend, self.status);
     }
 }
 
-impl Drop for AnswerPassage {
+impl Drop for ResponsePassthrough {
     fn drop(&mut self) {
-        let left = self.sent.is_some();
-        if left
+        let caller_left = self.backend_response.is_some();
+        if caller_left
             && self
                 .context
                 .may_log(&self.call.head.id.0, LineClass::Failure)
         {
             info!(self.context.log, "caller left"; "request" => %self.call.head.id,
-                "after_ms" => self.call.taken().as_millis() as u64);
+                "after_ms" => self.call.elapsed().as_millis() as u64);
         }
     }
 }
--- a/lib/tests/test_gateway_byte_budget.rs
+++ b/lib/tests/test_gateway_byte_budget.rs
@@ -1,16 +1,16 @@
-//! The budget of bytes that an entry holds.
+//! Tests of the budget for request and response bodies that an entry buffers.
 
 use std::sync::Arc;
 
+use cloverbend::gateway::byte_budget::BudgetExhausted;
+use cloverbend::gateway::byte_budget::BudgetedBuffer;
 use cloverbend::gateway::byte_budget::ByteBudget;
-use cloverbend::gateway::byte_budget::HeldBuffer;
-use cloverbend::gateway::byte_budget::NoRoom;
 use rstest::rstest;
 
 #[test]
-fn bytes_count_until_their_last_clone_is_dropped() {
+fn bytes_stay_reserved_until_their_last_clone_is_dropped() {
     let budget = Arc::new(ByteBudget::new(10));
-    let mut buffer = HeldBuffer::new(&budget);
+    let mut buffer = BudgetedBuffer::new(&budget);
     buffer.push(b"abcd").unwrap();
     buffer.push(b"ef").unwrap();
     let bytes = buffer.freeze();
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn what_does_not_fit_is_not_taken() {
+fn bytes_beyond_the_budget_are_not_reserved() {
     let budget = Arc::new(ByteBudget::new(10));
-    let mut first = HeldBuffer::new(&budget);
-    let mut second = HeldBuffer::new(&budget);
+    let mut first = BudgetedBuffer::new(&budget);
+    let mut second = BudgetedBuffer::new(&budget);
     first.push(&[1; 8]).unwrap();
-    assert_eq!(second.push(&[2; 3]), Err(NoRoom));
+    assert_eq!(second.push(&[2; 3]), Err(BudgetExhausted));
     assert!(second.is_empty());
     second.push(&[2; 2]).unwrap();
     drop(first);
@@ -41,8 +41,8 @@
 #[case::none(0.0, 0)]
 #[case::negative(-1.0, 0)]
 #[case::not_a_number(f64::NAN, 0)]
-fn a_quarter_of_the_memory_is_for_bodies_and_answers(#[case] memory_mb: f64, #[case] limit: usize) {
-    let budget = ByteBudget::of_memory(memory_mb);
+fn a_quarter_of_the_memory_is_for_buffered_bodies(#[case] memory_mb: f64, #[case] limit: usize) {
+    let budget = ByteBudget::from_memory_mb(memory_mb);
     assert!(budget.has_room(limit));
     assert!(!budget.has_room(limit + 1));
 }
