--- a/lib/src/gateway/byte_budget.rs
+++ b/lib/src/gateway/byte_budget.rs
@@ -1,8 +1,8 @@
 //! Limits the memory for request and response bodies that an entry buffers.
 //!
-//! Bytes are reserved as they arrive, not up to a limit in advance, so that only
-//! buffered bytes count. They are released when their last owner is dropped: a
-//! request, or the connection that writes them.
+//! Bytes are reserved as they arrive, not in advance for the largest allowed body,
+//! so that only buffered bytes count. They are released when their last owner is
+//! dropped: a request, or the connection that writes them.
 
 use std::fmt;
 use std::sync::Arc;
--- a/lib/src/gateway/call_admission.rs
+++ b/lib/src/gateway/call_admission.rs
@@ -96,7 +96,7 @@
     /// Returns the priority of the account, or else of the route; 0 is the most
     /// urgent.
     pub fn priority(&self) -> u8 {
-        let account = self.account.as_ref().and_then(|a| a.priority);
+        let account = self.account.as_ref().and_then(|account| account.priority);
         account.unwrap_or(self.route.priority).min(9)
     }
 }
@@ -169,8 +169,8 @@
     }
 }
 
-/// Refunds the units of a request that certainly did not run to its account's
-/// limit.
+/// Refunds the units of a request to the limit of its account. The request must
+/// certainly not have run.
 pub fn refund_units(context: &GatewayContext, call: &AdmittedCall) {
     if let Some(account) = call.account_name() {
         context.account_limits.lock().refund(account, call.units);
@@ -195,8 +195,8 @@
 ) -> Result<ResolvedCall, CallRefusal> {
     let config = current_config(context)?;
     let (route, account) = authorize(context, &config, head, parts)?;
-    let number = XxHash64::oneshot(0, head.id.0.as_bytes());
-    let service = route.target(number).cloned();
+    let hash = XxHash64::oneshot(0, head.id.0.as_bytes());
+    let service = route.target(hash).cloned();
     let service = service.ok_or(CallRefusal::NoBackend)?;
     Ok(ResolvedCall {
         shortest_target: config.shortest_target(&service, &route),
--- a/lib/src/gateway/call_dispatch.rs
+++ b/lib/src/gateway/call_dispatch.rs
@@ -140,7 +140,7 @@
         let mut chosen = match choose_next_step(context, call, retry_state) {
             NextStep::Send(chosen) => chosen,
             NextStep::Crowded(after) => return Err(CallRefusal::Crowded(after)),
-            // If an attempt may have run, the caller gets that refusal instead.
+            // If an attempt may have run, the refusal has to say so instead.
             NextStep::AllClosed(after) if retry_state.possible_runs == 0 => {
                 return Err(CallRefusal::AllClosed(after));
             }
@@ -287,8 +287,8 @@
     }
 }
 
-/// Decodes the head of a response: whether it belongs to the request, and whether
-/// the request ran.
+/// Decodes the head of a response and determines whether it belongs to the request
+/// and whether the request ran.
 fn classify_response(
     context: &GatewayContext,
     call: &AdmittedCall,
@@ -313,7 +313,7 @@
         handle_report(context, backend, &head.report);
     }
     if head.not_executed {
-        // The chosen server is gone.
+        // If another server has the address, the chosen one is gone.
         let is_replaced = status == StatusCode::MISDIRECTED_REQUEST;
         return SendResult::NotExecuted(if is_replaced {
             BackendOutcome::Broken
@@ -336,7 +336,7 @@
     address: SocketAddr,
     prefill_tokens: u64,
     /// The expected time to the first event.
-    first_event: Duration,
+    first_event_delay: Duration,
 }
 
 /// The next step for a request.
@@ -375,7 +375,7 @@
     let had_free_slot = backend.occupancy(now) < backend.record.slots;
     let tokens_ahead = backend.pending_tokens + backend.peer_pending_tokens;
     let speed = backends.times(&call.service).prefill_speed;
-    let first_event = speed.first_event(tokens_ahead + choice.prefill_tokens);
+    let first_event_delay = speed.first_event(tokens_ahead + choice.prefill_tokens);
     if retry_state.tried.is_empty() {
         context
             .work
@@ -395,7 +395,7 @@
     limits.note_sent(now, &choice.id);
     drop(limits);
     drop(backends);
-    let terms = SentRequest {
+    let sent_request = SentRequest {
         backend: choice.id,
         address,
         digest: call.digest,
@@ -404,12 +404,12 @@
         had_free_slot,
         sent_at: now,
     };
-    let guard = SendGuard::new(context, terms);
+    let guard = SendGuard::new(context, sent_request);
     NextStep::Send(Box::new(ChosenBackend {
         guard,
         address,
         prefill_tokens: choice.prefill_tokens,
-        first_event,
+        first_event_delay,
     }))
 }
 
@@ -456,7 +456,7 @@
         retry_state.repeatable && retry_state.possible_runs + 1 < call.route.max_attempts;
     let target_share = call.route.target_latency.mul_f64(FIRST_ATTEMPT_SHARE);
     let prefill_wait = match call.route.streaming {
-        true => chosen.first_event * FIRST_EVENT_FACTOR,
+        true => chosen.first_event_delay * FIRST_EVENT_FACTOR,
         false => Duration::ZERO,
     };
     may_retry.then(|| target_share.max(prefill_wait).min(call.time_left() / 2))
@@ -472,7 +472,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = call.headers.clone();
-    let terms = ForwardedHead {
+    let forwarded_head = ForwardedHead {
         backend,
         time_left: call.time_left(),
         account: call.account_name(),
@@ -482,6 +482,6 @@
     context
         .platform
         .format
-        .encode_request(request.headers_mut(), &terms);
+        .encode_request(request.headers_mut(), &forwarded_head);
     request
 }
--- a/lib/src/gateway/call_refusal.rs
+++ b/lib/src/gateway/call_refusal.rs
@@ -13,8 +13,8 @@
 /// The longest time after which a caller should retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Why a request is not served. Except with the last two reasons, it certainly
-/// did not run.
+/// Why a request is not served. With the last two reasons it may have run; with
+/// all others it certainly did not.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallRefusal {
     /// The head cannot be decoded.
--- a/lib/src/gateway/call_service.rs
+++ b/lib/src/gateway/call_service.rs
@@ -172,6 +172,8 @@
     }
 }
 
+/// Returns whether the request may be retried, and takes the retry out of the
+/// budget.
 fn take_retry(context: &GatewayContext, call: &AdmittedCall, retry_state: &RetryState) -> bool {
     retry_state.may_retry(call) && retry_state.take_retry_budget(context, call)
 }
--- a/lib/src/gateway/gateway_daemon.rs
+++ b/lib/src/gateway/gateway_daemon.rs
@@ -185,8 +185,8 @@
     let service = move |_: SocketAddr| {
         let context = Arc::clone(&shared);
         service_fn(move |request: Request<Incoming>| {
-            let known = request.uri().path() == context.platform.format.readiness_path();
-            let status = match (known, context.is_ready()) {
+            let is_known_path = request.uri().path() == context.platform.format.readiness_path();
+            let status = match (is_known_path, context.is_ready()) {
                 (true, true) => StatusCode::OK,
                 (true, false) => StatusCode::SERVICE_UNAVAILABLE,
                 (false, _) => StatusCode::NOT_FOUND,
@@ -200,9 +200,9 @@
 fn serve_metrics(context: &Arc<GatewayContext>, listener: TcpListener) {
     let service = move |_: SocketAddr| {
         service_fn(move |request: Request<Incoming>| {
-            let known = request.uri().path() == METRICS_PATH;
+            let is_known_path = request.uri().path() == METRICS_PATH;
             async move {
-                Ok::<_, Infallible>(if known {
+                Ok::<_, Infallible>(if is_known_path {
                     let text = metrics_export::render_metrics();
                     short_response(StatusCode::OK, Bytes::from(text))
                 } else {
@@ -238,7 +238,7 @@
 
 fn receive_message(context: &GatewayContext, message: PeerMessage) {
     match message {
-        PeerMessage::News(news) => receive_gossip(context, *news),
+        PeerMessage::News(gossip) => receive_gossip(context, *gossip),
         PeerMessage::DocumentPull(pull) => answer_pull(context, &pull),
         PeerMessage::DocumentPart(part) => receive_part(context, &part),
         _ => slog::warn!(context.log, "peer message refused"; "cause" => "not for a gateway"),
