--- a/lib/src/gateway/backend_pool.rs
+++ b/lib/src/gateway/backend_pool.rs
@@ -198,7 +198,7 @@
     }
 
     /// Closes the idle connections that have expired.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
         for connections in idle.values_mut() {
--- a/lib/src/gateway/gateway_daemon.rs
+++ b/lib/src/gateway/gateway_daemon.rs
@@ -249,7 +249,7 @@
     let mut sizes = SizeReporter::default();
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
-        context.pool.sweep();
+        context.pool.close_expired();
         context.config.lock().drop_unrequested(context.now());
         // An entry without usage of its own still receives the counts of others.
         let window = context.usage_window();
