--- a/lib/src/gateway/backend_pool.rs
+++ b/lib/src/gateway/backend_pool.rs
@@ -1,7 +1,8 @@
 //! A pool of connections to backend servers, each with one request at a time.
 //!
-//! A connection is reused only if the previous response was read completely.
-//! hyper closes a connection if bytes arrive for which no request waits.
+//! A connection is reused only if the previous response was read completely and
+//! no bytes followed it: hyper closes a connection if bytes arrive that belong to
+//! no request.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -77,14 +78,15 @@
     pub connection: PooledConnection,
 }
 
-/// A connection that is in use.
+/// A connection that a request uses; it may be returned to the pool.
 pub struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
 }
 
 /// The idle connections of one entry to backend servers.
 pub struct BackendPool {
-    /// Includes suspensions, because servers close idle connections meanwhile.
+    /// This clock continues while the VM is suspended, because servers close idle
+    /// connections during that time.
     clock: Arc<BootClock>,
     idle: Mutex<HashMap<BackendId, Vec<IdleConnection>>>,
 }
@@ -167,7 +169,7 @@
         }
         let now = self.clock.now();
         let mut idle = self.idle.lock();
-        // Without this connection, a later request only has to open a new one.
+        // Closing the connection is cheap: a later request opens a new one.
         if idle.values().map(Vec::len).sum::<usize>() >= MAX_IDLE_TOTAL {
             return;
         }
@@ -213,7 +215,7 @@
         let mut idle = self.idle.lock();
         let connections = idle.get_mut(id)?;
         while let Some(connection) = connections.pop() {
-            // A connection that is not ready did not end its last response cleanly.
+            // If a connection is not ready, its last response did not end cleanly.
             if connection.expires_at > now && connection.sender.is_ready() {
                 return Some(connection.sender);
             }
--- a/lib/src/gateway/call_admission.rs
+++ b/lib/src/gateway/call_admission.rs
@@ -139,7 +139,8 @@
         &body,
     );
     // Callers retry a request at any entry. If entries only ejected crashed
-    // servers, a request that crashes them would end one server after another.
+    // servers, a request that crashes them would end one server after another, such
+    // as 57 servers within 40 s.
     if context.crashes.lock().refuses(context.now(), digest) {
         log_fatal_request(context, &head, digest);
         return Err(CallRefusal::CrashesServers);
@@ -169,8 +170,8 @@
     }
 }
 
-/// Refunds the units of a request to the limit of its account. The request must
-/// certainly not have run.
+/// Refunds the units of a request to the limit of its account. Must be called only
+/// for a request that certainly did not run.
 pub fn refund_units(context: &GatewayContext, call: &AdmittedCall) {
     if let Some(account) = call.account_name() {
         context.account_limits.lock().refund(account, call.units);
--- a/lib/src/gateway/call_dispatch.rs
+++ b/lib/src/gateway/call_dispatch.rs
@@ -40,7 +40,7 @@
 use crate::gateway::server_limits::ServerLimits;
 use crate::quantity::Timestamp;
 
-/// The shortest time until the deadline with which a request is sent.
+/// A request is not sent if the time until its deadline is this short.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 /// The largest number of backend servers to which one request is sent before it
 /// gets a response.
@@ -49,9 +49,10 @@
 /// another server. Nine in ten requests are answered within a quarter of it, so
 /// the second attempt is still in time. Most others wait behind a long prompt, or
 /// their server is unreachable.
-const FIRST_ATTEMPT_SHARE: f64 = 0.6;
-/// How many times the expected time to the first event a stream gets at its first
-/// server. A retry at another server would take that expected time once more.
+const ATTEMPT_TIMEOUT_SHARE: f64 = 0.6;
+/// The shortest time before a stream is retried at another server, as a multiple of
+/// the expected time to its first event. The retry would take about that expected
+/// time again, so a server gets it twice.
 const FIRST_EVENT_FACTOR: u32 = 2;
 
 /// A response whose head has arrived from a backend server.
@@ -94,7 +95,7 @@
     pub fn take_retry_budget(&self, context: &GatewayContext, call: &AdmittedCall) -> bool {
         let now = context.now();
         let entries = context.peers.lock().entry_counts(now).entries;
-        let rule = &context.settings.bounds.resend;
+        let rule = &context.settings.bounds.retry_budget;
         let mut budget = context.retry_budget.lock();
         budget.take(now, &call.service, rule, entries)
     }
@@ -110,7 +111,8 @@
     NotSent,
     /// The request may have run; the outcome code names the failure.
     Lost(&'static str),
-    /// The attempt timed out, and a retry was taken out of the budget.
+    /// The attempt was given up for a retry at another server. The retry was taken
+    /// out of the budget.
     Abandoned,
 }
 
@@ -216,7 +218,7 @@
     let request = build_request(context, call, backend, resume_after);
     let exchange = context.pool.exchange(backend, chosen.address, request);
     let mut exchange = std::pin::pin!(exchange);
-    if let Some(attempt_timeout) = first_attempt_timeout(call, retry_state, chosen) {
+    if let Some(attempt_timeout) = timeout_before_retry(call, retry_state, chosen) {
         let result = tokio::select! {
             biased;
             result = tokio::time::timeout(attempt_timeout, &mut exchange) => result,
@@ -336,7 +338,7 @@
     address: SocketAddr,
     prefill_tokens: u64,
     /// The expected time to the first event.
-    first_event_delay: Duration,
+    expected_first_event: Duration,
 }
 
 /// The next step for a request.
@@ -375,7 +377,7 @@
     let had_free_slot = backend.occupancy(now) < backend.record.slots;
     let tokens_ahead = backend.pending_tokens + backend.peer_pending_tokens;
     let speed = backends.times(&call.service).prefill_speed;
-    let first_event_delay = speed.first_event(tokens_ahead + choice.prefill_tokens);
+    let expected_first_event = speed.first_event(tokens_ahead + choice.prefill_tokens);
     if retry_state.tried.is_empty() {
         context
             .work
@@ -409,7 +411,7 @@
         guard,
         address,
         prefill_tokens: choice.prefill_tokens,
-        first_event_delay,
+        expected_first_event,
     }))
 }
 
@@ -445,18 +447,19 @@
 }
 
 /// Returns how long to wait for the response head before the request is retried
-/// at another backend server, if it may be. A stream with a long prefill gets more
-/// time, because another replica would start the prefill again.
-fn first_attempt_timeout(
+/// at another backend server, if it may be: at most half of the time until the
+/// deadline. A stream with a long prefill gets more time, because another replica
+/// would start the prefill again.
+fn timeout_before_retry(
     call: &AdmittedCall,
     retry_state: &RetryState,
     chosen: &ChosenBackend,
 ) -> Option<Duration> {
     let may_retry =
         retry_state.repeatable && retry_state.possible_runs + 1 < call.route.max_attempts;
-    let target_share = call.route.target_latency.mul_f64(FIRST_ATTEMPT_SHARE);
+    let target_share = call.route.target_latency.mul_f64(ATTEMPT_TIMEOUT_SHARE);
     let prefill_wait = match call.route.streaming {
-        true => chosen.first_event_delay * FIRST_EVENT_FACTOR,
+        true => chosen.expected_first_event * FIRST_EVENT_FACTOR,
         false => Duration::ZERO,
     };
     may_retry.then(|| target_share.max(prefill_wait).min(call.time_left() / 2))
--- a/lib/src/gateway/call_head.rs
+++ b/lib/src/gateway/call_head.rs
@@ -34,7 +34,7 @@
 }
 
 impl TokenUse {
-    /// Returns the number of tokens that the request uses of a limit in tokens.
+    /// Returns the number of tokens that are charged to a limit in tokens.
     pub fn total(self) -> TokenCount {
         TokenCount(self.prompt.0.saturating_add(self.max_generated.0))
     }
@@ -51,8 +51,8 @@
     pub api_key: Option<String>,
     /// The number of prompt and generated tokens.
     pub tokens: Option<TokenUse>,
-    /// The blocks of the prompt in order. The last block is only of this request;
-    /// the others may be shared with other requests.
+    /// The blocks of the prompt in order. The last block belongs to this request
+    /// only; the others may be shared with other requests.
     pub prompt_blocks: Vec<PromptBlock>,
     /// The id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
--- a/lib/src/gateway/call_refusal.rs
+++ b/lib/src/gateway/call_refusal.rs
@@ -8,9 +8,11 @@
 use crate::gateway::call_head::HeadError;
 use crate::gateway::crash_ledger::CRASH_RETENTION;
 
-/// The shortest time after which a caller should retry.
+/// The shortest time after which a caller should retry, unless the entry is
+/// draining.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// The longest time after which a caller should retry.
+/// The longest time after which a caller should retry, unless its request crashes
+/// backend servers.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Why a request is not served. With the last two reasons it may have run; with
--- a/lib/src/gateway/call_service.rs
+++ b/lib/src/gateway/call_service.rs
@@ -39,7 +39,8 @@
 use crate::gateway::send_guard::SERVER_RESTARTED;
 use crate::quantity::Timestamp;
 
-/// Serves one request.
+/// Serves one request and returns the response to the caller, which may be a
+/// refusal.
 pub async fn serve_call(
     context: Arc<GatewayContext>,
     request: Request<Incoming>,
@@ -102,7 +103,7 @@
 ) -> Result<Response<CallerBody>, CallRefusal> {
     let call = admit_call(context, head, parts, body, arrived_at).await?;
     let now = context.now();
-    let rule = &context.settings.bounds.resend;
+    let rule = &context.settings.bounds.retry_budget;
     context
         .retry_budget
         .lock()
@@ -122,13 +123,14 @@
 
 async fn serve_admitted(context: &Arc<GatewayContext>, call: AdmittedCall) -> CallResult {
     let mut retry_state = RetryState::new(&call);
-    // The error response of an earlier attempt, if no other server responds.
-    let mut failure: Option<Response<CallerBody>> = None;
+    // The error response of an earlier attempt. The caller gets it if no other
+    // server responds.
+    let mut error_response: Option<Response<CallerBody>> = None;
     loop {
         let mut backend_response =
             match send_until_response(context, &call, &mut retry_state, None).await {
                 Ok(backend_response) => backend_response,
-                Err(refusal) => return failure.ok_or((call, refusal)),
+                Err(refusal) => return error_response.ok_or((call, refusal)),
             };
         let status = backend_response.exchange.response.status();
         if call.route.streaming && status.is_success() {
@@ -155,7 +157,7 @@
                 let response = complete_response(context, &call, backend_response, body);
                 if status.is_server_error() && take_retry(context, &call, &retry_state) {
                     log_send_failed(context, &call, &backend, "failed_try_again");
-                    failure = Some(response);
+                    error_response = Some(response);
                     continue;
                 }
                 log_request_answered(context, &call, &backend, status);
--- a/lib/src/gateway/event_relay.rs
+++ b/lib/src/gateway/event_relay.rs
@@ -172,7 +172,7 @@
     /// that the byte budget has no room to buffer.
     fn split(&mut self, data: &[u8]) -> EventBatch {
         let mut batch = self.splitter.push(data);
-        let pending = self.splitter.pending();
+        let pending = self.splitter.pending_len();
         let counted_bytes = if pending > UNCOUNTED_PENDING_BYTES {
             pending
         } else {
--- a/lib/src/gateway/event_splitter.rs
+++ b/lib/src/gateway/event_splitter.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the number of buffered bytes.
-    pub fn pending(&self) -> usize {
+    pub fn pending_len(&self) -> usize {
         self.pending.len()
     }
 
@@ -78,9 +78,9 @@
         self.partial.is_some()
     }
 
-    /// Returns the beginning of an event that cannot be buffered. Bytes that may
-    /// belong to the event's end or to its id line stay in the buffer, so that
-    /// both are recognized later.
+    /// Removes and returns the beginning of an event that cannot be buffered. Bytes
+    /// that may belong to the event's end or to its id line stay in the buffer, so
+    /// that both are recognized later.
     pub fn flush_partial(&mut self) -> Bytes {
         let length = self.pending.len();
         let newline = self.pending.iter().rposition(|byte| *byte == b'\n');
--- a/lib/src/gateway/gateway_context.rs
+++ b/lib/src/gateway/gateway_context.rs
@@ -64,7 +64,7 @@
 pub struct GatewayContext {
     /// The settings.
     pub settings: GatewaySettings,
-    /// The time since the start of this process.
+    /// Measures the time since the start of this process.
     pub clock: Arc<BootClock>,
     /// This incarnation of the entry.
     pub incarnation: Incarnation,
@@ -251,8 +251,8 @@
         self.refusing.store(true, Ordering::Relaxed);
     }
 
-    /// Records a complete response. The time from the start of the process to the
-    /// first one shows how long a restart affects callers.
+    /// Records the time from the start of the process to its first complete response.
+    /// A restart affects callers for that long. Further calls have no effect.
     pub fn note_first_response(&self) {
         if self.has_responded.swap(true, Ordering::Relaxed) {
             return;
@@ -276,12 +276,12 @@
     }
 }
 
-/// How much longer than the setting `lease_ms` a former holder waits before it
-/// claims the lease again.
+/// Added to the setting `lease_ms`: a former holder of the lease waits for the sum
+/// before it claims the lease again.
 const COOLDOWN_MARGIN: Duration = Duration::from_millis(1_000);
 
 fn new_lease(settings: &GatewaySettings, incarnation: Incarnation) -> LeaseState {
-    let timings = LeaseTimings::with_cooldown(settings.bounds.lease + COOLDOWN_MARGIN);
+    let timings = LeaseTimings::with_cooldown(settings.bounds.lease_cooldown + COOLDOWN_MARGIN);
     let name = settings.name.clone();
     LeaseState::new(
         Timestamp(0),
--- a/lib/src/gateway/gateway_daemon.rs
+++ b/lib/src/gateway/gateway_daemon.rs
@@ -49,8 +49,8 @@
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// The interval of checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The interval of removing expired connections and old usage windows.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval at which expired state is removed and the gauges are set.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 /// The path that serves the metrics.
 const METRICS_PATH: &str = "/metrics";
 
@@ -165,7 +165,7 @@
     spawn_server(context, listener, service);
 }
 
-fn spawn_server<M, S, B>(context: &Arc<GatewayContext>, listener: TcpListener, make: M)
+fn spawn_server<M, S, B>(context: &Arc<GatewayContext>, listener: TcpListener, make_service: M)
 where
     M: Fn(SocketAddr) -> S + Send + 'static,
     S: hyper::service::Service<Request<Incoming>, Response = Response<B>, Error = Infallible>
@@ -177,7 +177,12 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let stop = context.stop.clone();
-    tokio::spawn(serve_connections(listener, make, stop, Duration::ZERO));
+    tokio::spawn(serve_connections(
+        listener,
+        make_service,
+        stop,
+        Duration::ZERO,
+    ));
 }
 
 fn serve_readiness(context: &Arc<GatewayContext>, listener: TcpListener) {
@@ -233,7 +238,7 @@
     spawn_until_stop(&context.stop, maintain_lease(shared_context()));
     spawn_until_stop(&context.stop, run_duties(shared_context()));
     spawn_until_stop(&context.stop, read_without_lease(shared_context()));
-    spawn_until_stop(&context.stop, sweep(shared_context()));
+    spawn_until_stop(&context.stop, run_maintenance(shared_context()));
 }
 
 fn receive_message(context: &GatewayContext, message: PeerMessage) {
@@ -245,10 +250,10 @@
     }
 }
 
-async fn sweep(context: Arc<GatewayContext>) {
+async fn run_maintenance(context: Arc<GatewayContext>) {
     let mut sizes = SizeReporter::default();
     loop {
-        tokio::time::sleep(SWEEP_INTERVAL).await;
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         context.pool.close_expired();
         context.config.lock().drop_unrequested(context.now());
         // An entry without usage of its own still receives the counts of others.
--- a/lib/src/gateway/gateway_settings.rs
+++ b/lib/src/gateway/gateway_settings.rs
@@ -226,9 +226,9 @@
     /// The grace period: the time from SIGTERM to the end of the process.
     pub grace: Duration,
     /// How long an entry that lost the lease must not claim it again.
-    pub lease: Duration,
+    pub lease_cooldown: Duration,
     /// The bound on retries.
-    pub resend: RetryBudgetRule,
+    pub retry_budget: RetryBudgetRule,
     /// How far accounts may exceed their limits.
     pub limit_slack: LimitSlack,
     /// The length of a usage window in seconds.
@@ -256,7 +256,7 @@
     pub hub_capacity: HubCapacity,
     /// The memory that the process may use, in megabytes.
     pub memory_mb: f64,
-    /// Whether all entries start for the first time.
+    /// Whether this is the first start of all entries.
     pub first_start: bool,
     /// The address of the log store.
     pub store_address: SocketAddr,
@@ -328,7 +328,7 @@
     let drain = reader.defaulted("bounds", "drain_ms");
     let config_apply = reader.defaulted("bounds", "config_apply_ms");
     let grace = reader.defaulted("bounds", "grace_s");
-    let lease = reader.defaulted("bounds", "lease_ms");
+    let lease_cooldown = reader.defaulted("bounds", "lease_ms");
     let ratio = reader.defaulted("bounds", "resend_ratio");
     let reserve = reader.defaulted("bounds", "resend_reserve");
     let window = reader.defaulted("bounds", "resend_window_s");
@@ -342,8 +342,8 @@
         drain: Duration::from_millis(drain?),
         config_apply: Duration::from_millis(config_apply?),
         grace: Duration::from_secs(grace?),
-        lease: Duration::from_millis(lease?),
-        resend: RetryBudgetRule {
+        lease_cooldown: Duration::from_millis(lease_cooldown?),
+        retry_budget: RetryBudgetRule {
             ratio: ratio?,
             reserve: reserve?,
             window: Duration::from_secs(window?),
--- a/lib/src/gateway/response_body.rs
+++ b/lib/src/gateway/response_body.rs
@@ -10,9 +10,9 @@
 use crate::gateway::byte_budget::BudgetedBuffer;
 use crate::gateway::byte_budget::ByteBudget;
 
-/// The largest response that is buffered before any of it is passed on. Whole
-/// generations, at some bytes per token, are well below it, so that they can be
-/// retried when their backend server fails.
+/// The largest response that is buffered before any of it is passed on. A complete
+/// generation has a few bytes per token and is much smaller, so that its request
+/// can be retried if the backend server fails.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 1_048_576;
 
 /// Why a response is passed through instead of buffered.
--- a/lib/src/gateway/response_passthrough.rs
+++ b/lib/src/gateway/response_passthrough.rs
@@ -61,9 +61,9 @@
         call.release_body();
         let cause = partial.cause.label();
         counter!("cloverbend_answers_not_held_total", "cause" => cause).increment(1);
-        let head = &backend_response.exchange.response;
-        let status = head.status();
-        let mut headers = strip_hop_headers(head.headers().clone());
+        let received = &backend_response.exchange.response;
+        let status = received.status();
+        let mut headers = strip_hop_headers(received.headers().clone());
         // With the length, the caller can detect an interrupted body.
         if let Some(length) = partial.length {
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
--- a/lib/tests/test_gateway_peers.rs
+++ b/lib/tests/test_gateway_peers.rs
@@ -566,6 +566,6 @@
             rest = tail;
         }
         prop_assert_eq!(passed, text.as_bytes());
-        prop_assert_eq!(splitter.pending(), 0);
+        prop_assert_eq!(splitter.pending_len(), 0);
     }
 }
