--- a/lib/src/gateway/usage_table.rs
+++ b/lib/src/gateway/usage_table.rs
@@ -1,26 +1,28 @@
-//! Requests that began to run, by window of the wall clock and account.
+//! Counts requests that began to run, by window of the wall clock and account.
 //!
-//! Pure. Every entry counts its own and remembers what each other incarnation
-//! told last, also of those that are gone, so that a kill loses little.
+//! Pure: no I/O. Every entry counts its own requests and keeps the last counts
+//! that each other incarnation reported, including incarnations that are gone,
+//! so that little is lost when an entry is killed.
 
 use std::collections::BTreeMap;
 
 use crate::id::AccountName;
 use crate::id::Incarnation;
 
-/// The number of a window: windows are counted from the start of 1970.
+/// The number of a window, counted from the start of 1970.
 pub type WindowNumber = u64;
 
-/// How many windows are kept. Reports are due two windows after the end.
+/// How many windows are kept. The report of a window is due two windows after
+/// its end.
 const KEPT_WINDOWS: u64 = 6;
 
-/// Counts of one window.
+/// The requests of one window, by account.
 pub type WindowCounts = BTreeMap<AccountName, u64>;
 
-/// Counts of several windows, by the life of the entry that counted.
+/// The counts of several windows, by the incarnation of the entry that counted.
 pub type IncarnationCounts = BTreeMap<WindowNumber, BTreeMap<Incarnation, WindowCounts>>;
 
-/// The counts that are known on one entry.
+/// The counts known at one entry.
 #[derive(Clone, Debug)]
 pub struct UsageTable {
     own: Incarnation,
@@ -28,7 +30,7 @@
 }
 
 impl UsageTable {
-    /// Returns an empty table of an entry.
+    /// Returns the empty table of an entry.
     pub fn new(own: Incarnation) -> Self {
         Self {
             own,
@@ -49,8 +51,8 @@
         self.drop_old(window);
     }
 
-    /// Notes what another incarnation counted. Counts only rise, so an older
-    /// word changes nothing.
+    /// Records a count of another incarnation. Counts never decrease, so an
+    /// older message changes nothing.
     pub fn note_peer_count(
         &mut self,
         from: Incarnation,
@@ -76,43 +78,48 @@
         let own = self.own;
         self.counts
             .iter()
-            .filter_map(move |(window, told)| told.get(&own).map(|counts| (*window, counts)))
+            .filter_map(move |(window, counts_by_incarnation)| {
+                counts_by_incarnation
+                    .get(&own)
+                    .map(|counts| (*window, counts))
+            })
     }
 
-    /// Returns all that is known of the windows from `oldest` on.
+    /// Returns all known counts of the windows from `oldest` on.
     pub fn since(&self, oldest: WindowNumber) -> IncarnationCounts {
         let recent = self.counts.range(oldest..);
-        let recent = recent.map(|(window, lives)| (*window, lives.clone()));
+        let recent = recent.map(|(window, incarnations)| (*window, incarnations.clone()));
         recent.collect()
     }
 
-    /// Takes over what an earlier holder of the lease knew. Counts of a life only
-    /// rise, so what is known twice counts once.
+    /// Merges the counts that an earlier lease holder recorded. The counts of
+    /// an incarnation never decrease, so a count that is known already counts
+    /// once.
     pub fn restore(&mut self, windows: &IncarnationCounts) {
-        for (window, lives) in windows {
-            for (life, counts) in lives {
+        for (window, incarnations) in windows {
+            for (incarnation, counts) in incarnations {
                 for (account, count) in counts {
-                    self.note_peer_count(*life, *window, account, *count);
+                    self.note_peer_count(*incarnation, *window, account, *count);
                 }
             }
         }
     }
 
-    /// Returns the sum of a window over all entries.
+    /// Returns the counts of a window, summed over all entries.
     pub fn total(&self, window: WindowNumber) -> WindowCounts {
         let mut total = WindowCounts::new();
-        let told = self
+        let counts_by_incarnation = self
             .counts
             .get(&window)
             .into_iter()
             .flat_map(BTreeMap::values);
-        for (account, count) in told.flatten() {
+        for (account, count) in counts_by_incarnation.flatten() {
             *total.entry(account.clone()).or_default() += count;
         }
         total
     }
 
-    /// Forgets the windows before those that are kept beside `newest`.
+    /// Removes the windows that are too old to be kept beside `newest`.
     pub fn drop_old(&mut self, newest: WindowNumber) {
         let oldest = newest.saturating_sub(KEPT_WINDOWS);
         self.counts.retain(|window, _| *window >= oldest);
--- a/lib/tests/test_gateway_limits.rs
+++ b/lib/tests/test_gateway_limits.rs
@@ -1,4 +1,5 @@
-//! Limits shared by entries that tell each other what they admitted.
+//! Checks rate limits of accounts that entries share by gossip, and counts of
+//! requests per window.
 
 use std::time::Duration;
 
@@ -35,17 +36,17 @@
     }
 }
 
-/// What may be used in a window by the operator's bounds.
+/// The most that may be used in a window, according to the operators' bounds.
 fn bound() -> f64 {
     (RATE * WINDOW.as_secs_f64() + RATE) * (1.0 + SLACK.overage) + SLACK.units
 }
 
-/// Entries that admit, and the first of them as their only hub.
+/// Entries that admit requests. The first of them is the only hub.
 struct LimitWorld {
     entries: Vec<AccountLimits>,
     cut: Vec<usize>,
-    /// Whether those that are not cut off have noticed who is.
-    cut_is_noticed: bool,
+    /// Whether the entries that are not cut off know which ones are.
+    is_cut_noticed: bool,
     admitted: Vec<(Timestamp, u64)>,
 }
 
@@ -60,12 +61,12 @@
                 .map(|entry| AccountLimits::new(Incarnation(entry as u64), true, SLACK))
                 .collect(),
             cut: cut.to_vec(),
-            cut_is_noticed: true,
+            is_cut_noticed: true,
             admitted: Vec::new(),
         }
     }
 
-    /// All entries lose what they know.
+    /// Restarts all entries, which lose what they know.
     fn restart(&mut self) {
         for (number, entry) in self.entries.iter_mut().enumerate() {
             *entry = AccountLimits::new(Incarnation(number as u64), false, SLACK);
@@ -74,17 +75,14 @@
 
     fn view(&self, entry: usize) -> ShareView {
         let entries = self.entries.len();
-        let heard = if !self.cut_is_noticed {
+        let reachable = if !self.is_cut_noticed {
             entries
         } else if self.cut.contains(&entry) {
             1
         } else {
             entries - self.cut.len()
         };
-        ShareView {
-            entries,
-            reachable: heard,
-        }
+        ShareView { entries, reachable }
     }
 
     fn offer(&mut self, now: Timestamp, entry: usize, units: u64) {
@@ -107,15 +105,15 @@
         }
         self.entries[0].merge_peer_totals(now, Incarnation(0), [&account]);
         for entry in &connected[1..] {
-            let left_out = Some(Incarnation(*entry as u64));
-            for total in self.entries[0].totals_without(left_out) {
+            let receiver = Some(Incarnation(*entry as u64));
+            for total in self.entries[0].totals_without(receiver) {
                 self.entries[*entry].merge_total(now, Incarnation(0), &account, total.units);
             }
         }
     }
 
-    /// Exchanges news that take two pauses: entries get the totals that the hub
-    /// had before it was told the newest counts.
+    /// Exchanges gossip that takes two intervals to arrive: entries get the
+    /// totals from before the hub received the newest counts.
     fn exchange_late(&mut self, now: Timestamp) {
         let account = rule().name;
         let entries = 1..self.entries.len();
@@ -133,7 +131,7 @@
         self.entries[0].merge_peer_totals(now, Incarnation(0), [&account]);
     }
 
-    /// Returns the most that was admitted in any window.
+    /// Returns the most units that were admitted in any window.
     fn most_in_window(&self) -> u64 {
         let starts = self.admitted.iter().map(|(start, _)| *start);
         let within = |start: Timestamp| {
@@ -146,7 +144,7 @@
         starts.map(within).max().unwrap_or(0)
     }
 
-    /// Runs 24 seconds in which every entry is offered `each` units a second.
+    /// Runs 24 s in which every entry is offered `each` units per second.
     fn run(&mut self, each: u64) {
         for step in 0..2_400_u64 {
             let now = Timestamp::from_millis(step * 10);
@@ -159,28 +157,28 @@
     }
 }
 
-/// Hundreds of entries, of which the callers of an account use a few: their
-/// connections are a few dozen.
+/// Hundreds of entries. The callers of an account use only a few of them, since
+/// they hold a few dozen connections.
 const MANY_ENTRIES: usize = 300;
 const CALLERS: u64 = 14;
 
-/// Returns the entry that a caller's connection leads to.
+/// Returns the entry to which a caller's connection leads.
 fn entry_of(caller: u64) -> usize {
     (caller as usize * 37 + 5) % MANY_ENTRIES
 }
 
-/// Offers requests of an account for 24 seconds, `each` units a second over all
-/// entries, from callers in turn; every third comes with the one before it.
-/// Returns how many were offered.
+/// Offers requests of an account for 24 s, `each` units per second over all
+/// entries, from callers in turn. Three requests at a time arrive together.
+/// Returns how many requests were offered.
 fn offer_by_callers(world: &mut LimitWorld, callers: u64, each: f64, unit: u64) -> usize {
     let pause = (unit as f64 / each * 1_000_000.0) as u64;
-    let mut next_news = 0;
+    let mut next_gossip_us = 0;
     let mut offered = 0;
     for number in 0..24_000_000 / pause {
         let now = Timestamp(number / 3 * 3 * pause);
-        while next_news <= now.0 {
-            world.exchange(Timestamp(next_news));
-            next_news += 250_000;
+        while next_gossip_us <= now.0 {
+            world.exchange(Timestamp(next_gossip_us));
+            next_gossip_us += 250_000;
         }
         let caller = (number / 3) * 7 % callers;
         world.offer(now, entry_of(caller), unit);
@@ -189,8 +187,8 @@
     offered
 }
 
-/// Three prompts of an account come at once, now here, now there. A few are
-/// refused before it is known where its callers are.
+/// Groups of three prompts arrive together at changing entries. A few are
+/// refused before the entries know where the account's callers are.
 #[test]
 fn an_account_whose_callers_use_few_of_many_entries_is_not_refused() {
     let mut world = LimitWorld::of_size(MANY_ENTRIES, &[]);
@@ -199,12 +197,13 @@
     assert!(refused * 100 <= offered, "{refused} of {offered} refused");
 }
 
-/// The twins of the bound at hundreds of entries.
+/// The same bound as in `an_account_over_its_limit_stays_within_its_bound`, at
+/// hundreds of entries.
 #[rstest]
 #[case::few_callers(CALLERS, &[])]
 #[case::callers_everywhere(MANY_ENTRIES as u64, &[])]
 #[case::some_are_cut_off(CALLERS, &[42, 79, 116])]
-fn a_pressing_account_stays_within_its_bound_at_many_entries(
+fn an_account_over_its_limit_stays_within_its_bound_at_many_entries(
     #[case] callers: u64,
     #[case] cut: &[usize],
 ) {
@@ -215,27 +214,28 @@
     assert!(most >= RATE * WINDOW.as_secs_f64() * 0.8, "{most}");
 }
 
-/// The slack of a large account: its rate is many times what is allowed beside
-/// the share.
-const LITTLE_SLACK: LimitSlack = LimitSlack {
+/// The slack of a large account, whose rate is many times the units that are
+/// allowed in addition to the overage.
+const SMALL_SLACK: LimitSlack = LimitSlack {
     window: WINDOW,
     overage: 0.1,
     units: 16_000.0,
 };
 
-/// A large account presses at six times its use, right after the first start
-/// of all, with news that take two pauses from entry to entry. A third of the
-/// entries may be cut off from second 1 or 2 on, which is noticed after 1.2 s.
+/// A large account rises to six times its use right after the first start of
+/// all entries, and gossip takes two intervals from entry to entry. A third of
+/// the entries may be cut off from second 0, 1 or 2 on. The others know this
+/// from the start if it happens at second 0, else after 1.2 s.
 #[rstest]
-#[case::all_talk(0, 0)]
+#[case::all_connected(0, 0)]
 #[case::a_third_is_cut_off(105, 0)]
 #[case::a_third_is_cut_off_just_before(105, 1_000)]
 #[case::a_third_is_cut_off_meanwhile(105, 2_000)]
-fn a_large_account_that_presses_stays_within_its_bound(#[case] cut: usize, #[case] cut_ms: u64) {
+fn a_large_account_over_its_limit_stays_within_its_bound(#[case] cut: usize, #[case] cut_ms: u64) {
     let cut: Vec<usize> = (MANY_ENTRIES - cut..MANY_ENTRIES).collect();
     let mut world = LimitWorld::of_size(MANY_ENTRIES, &[]);
     for (number, entry) in world.entries.iter_mut().enumerate() {
-        *entry = AccountLimits::new(Incarnation(number as u64), true, LITTLE_SLACK);
+        *entry = AccountLimits::new(Incarnation(number as u64), true, SMALL_SLACK);
     }
     let mut caller = 0;
     let mut offered = 0.0;
@@ -243,11 +243,15 @@
         let now = Timestamp::from_millis(step * 10);
         if step * 10 == cut_ms {
             world.cut.clone_from(&cut);
-            world.cut_is_noticed = cut_ms == 0;
+            world.is_cut_noticed = cut_ms == 0;
         }
-        world.cut_is_noticed |= step * 10 == cut_ms + 1_200;
-        let pressed = now >= Timestamp::from_millis(1_500);
-        offered += if pressed { RATE * 3.3 } else { RATE * 0.55 } / 100.0;
+        world.is_cut_noticed |= step * 10 == cut_ms + 1_200;
+        let is_over_limit = now >= Timestamp::from_millis(1_500);
+        offered += if is_over_limit {
+            RATE * 3.3
+        } else {
+            RATE * 0.55
+        } / 100.0;
         if step % 25 == 0 {
             world.exchange_late(now);
         }
@@ -258,24 +262,29 @@
         }
     }
     let limit = RATE * WINDOW.as_secs_f64() + RATE;
-    let bound = limit * (1.0 + LITTLE_SLACK.overage) + LITTLE_SLACK.units;
+    let bound = limit * (1.0 + SMALL_SLACK.overage) + SMALL_SLACK.units;
     let most = world.most_in_window() as f64;
     assert!(most <= bound, "{most} of {bound}");
 }
 
-/// An account uses half of its limit, then presses with eight times of that.
+/// An account uses half of its limit, then eight times as much.
 #[test]
-fn an_account_that_begins_to_press_stays_within_its_bound_at_many_entries() {
+fn an_account_that_begins_to_exceed_its_limit_stays_within_its_bound_at_many_entries() {
     let mut world = LimitWorld::of_size(MANY_ENTRIES, &[]);
-    let mut next_news = 0;
+    let mut next_gossip_us = 0;
     let mut caller = 0;
     for step in 0..2_400_u64 {
         let now = Timestamp::from_millis(step * 10);
-        let pressed = now >= Timestamp::from_millis(10_000);
-        let units = if pressed { RATE * 4.0 } else { RATE * 0.5 } as u64 / 100;
-        while next_news <= now.0 {
-            world.exchange(Timestamp(next_news));
-            next_news += 250_000;
+        let is_over_limit = now >= Timestamp::from_millis(10_000);
+        let units = if is_over_limit {
+            RATE * 4.0
+        } else {
+            RATE * 0.5
+        } as u64
+            / 100;
+        while next_gossip_us <= now.0 {
+            world.exchange(Timestamp(next_gossip_us));
+            next_gossip_us += 250_000;
         }
         caller = (caller + 3) % CALLERS;
         world.offer(now, entry_of(caller), units);
@@ -285,15 +294,15 @@
 }
 
 #[rstest]
-#[case::all_talk(&[])]
+#[case::all_connected(&[])]
 #[case::one_is_cut_off(&[3])]
 #[case::half_is_cut_off(&[4, 5, 6, 7])]
-fn a_pressing_account_stays_within_its_bound(#[case] cut: &[usize]) {
+fn an_account_over_its_limit_stays_within_its_bound(#[case] cut: &[usize]) {
     let mut world = LimitWorld::new(cut);
     world.run((RATE / ENTRIES as f64) as u64 * 7);
     let most = world.most_in_window() as f64;
     assert!(most <= bound(), "{most} of {}", bound());
-    // Most of what is allowed is used where all talk.
+    // Most of the limit is used if all entries are connected.
     assert!(
         cut.len() > 1 || most >= RATE * WINDOW.as_secs_f64() * 0.8,
         "{most}"
@@ -301,19 +310,20 @@
 }
 
 #[test]
-fn entries_that_hear_nothing_any_more_keep_to_their_own_part() {
-    // All talk for eight seconds with full buckets, then the hub is silent.
+fn entries_that_lose_the_hub_admit_only_their_own_fraction() {
+    // All entries are connected for 8 s with full buckets, then the hub is
+    // unreachable.
     let mut world = LimitWorld::new(&[]);
     for step in 0..3_200_u64 {
         let now = Timestamp::from_millis(step * 10);
-        let pressed = now >= Timestamp::from_millis(8_000);
-        let each = if pressed { RATE as u64 } else { 1_000 };
+        let is_over_limit = now >= Timestamp::from_millis(8_000);
+        let each = if is_over_limit { RATE as u64 } else { 1_000 };
         world.offer(
             now,
             (step % ENTRIES as u64) as usize,
             each / 100 * ENTRIES as u64,
         );
-        if !pressed && step % 25 == 0 {
+        if !is_over_limit && step % 25 == 0 {
             world.exchange(now);
         }
     }
@@ -321,7 +331,8 @@
     assert!(most <= bound(), "{most} of {}", bound());
 }
 
-/// An account presses from second 4 on; all entries lose what they know twice.
+/// An account exceeds its limit from second 4 on. All entries restart twice and
+/// lose what they know.
 #[rstest]
 #[case::soon_after_it_begins(5_000, 8_000)]
 #[case::twice_in_a_window(9_000, 13_000)]
@@ -333,8 +344,12 @@
         if step * 10 == first || step * 10 == second {
             world.restart();
         }
-        let pressed = now >= Timestamp::from_millis(4_000);
-        let each = if pressed { RATE * 7.0 } else { RATE * 0.5 };
+        let is_over_limit = now >= Timestamp::from_millis(4_000);
+        let each = if is_over_limit {
+            RATE * 7.0
+        } else {
+            RATE * 0.5
+        };
         let units = each as u64 / 100;
         world.offer(now, (step % ENTRIES as u64) as usize, units);
         if step % 25 == 0 {
@@ -349,7 +364,7 @@
 fn an_account_below_its_limit_is_served_soon_after_all_restart() {
     let mut world = LimitWorld::new(&[]);
     world.restart();
-    // 0.6 of the rate, in prompts of a tenth of a second's rate.
+    // 0.6 of the rate, in prompts that take 0.1 s of the rate each.
     let mut offered = 0;
     for step in (0..400_u64).step_by(16) {
         let now = Timestamp::from_millis(step * 10);
@@ -363,8 +378,8 @@
 
 #[rstest]
 #[case::alone(1)]
-#[case::without_news(4)]
-fn an_entry_without_news_gives_out_its_part_for_ever(#[case] entries: usize) {
+#[case::without_gossip(4)]
+fn an_entry_without_gossip_keeps_admitting_its_own_fraction(#[case] entries: usize) {
     let mut limits = AccountLimits::new(Incarnation(0), true, SLACK);
     let view = ShareView {
         entries,
@@ -375,8 +390,8 @@
         let now = Timestamp::from_millis(millis);
         admitted += u64::from(limits.admit(now, &rule(), 100, view).is_ok());
     }
-    let part = RATE / entries as f64 * 40.0;
-    let used = admitted as f64 * 100.0 / part;
+    let own_fraction = RATE / entries as f64 * 40.0;
+    let used = admitted as f64 * 100.0 / own_fraction;
     assert!((0.95..1.1).contains(&used), "{used}");
 }
 
@@ -397,8 +412,8 @@
     limits.note_gossip(Timestamp(0));
     let mut admit = |now| limits.admit(now, &rule(), 100, view);
     let admitted = std::iter::from_fn(|| admit(Timestamp(0)).ok()).count() as u64 * 100;
-    // The burst and 0.35 of the slack make a bucket. A request needs a level of
-    // its own units.
+    // The capacity of a bucket is the burst and 0.35 of the slack. A request
+    // needs a level of its own units.
     let bucket = RATE + (bound() - RATE * 9.0) * 0.35;
     assert_eq!(admitted, (bucket / 5.0 / 100.0) as u64 * 100);
     let later = Timestamp::from_millis(20);
@@ -406,7 +421,7 @@
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
+fn units_of_a_request_that_did_not_run_are_refunded() {
     let mut limits = AccountLimits::new(Incarnation(0), true, SLACK);
     let view = ShareView {
         entries: 1,
@@ -422,7 +437,7 @@
 }
 
 #[test]
-fn two_hubs_that_count_the_same_debit_it_once() {
+fn the_same_units_in_totals_of_two_hubs_are_debited_once() {
     let mut limits = AccountLimits::new(Incarnation(0), true, SLACK);
     let account: AccountName = rule().name;
     let view = ShareView {
@@ -447,7 +462,7 @@
 }
 
 #[test]
-fn counts_of_windows_are_kept_by_life_and_never_fall() {
+fn window_counts_are_kept_by_incarnation_and_never_decrease() {
     let account: AccountName = "depots".parse().unwrap();
     let mut usage = UsageTable::new(Incarnation(1));
     usage.count(10, &account);
@@ -482,10 +497,10 @@
     assert!((9.0..11.0).contains(&requests), "{requests}");
 }
 
-/// A request that waits for news of others, not for the account's rate, may
-/// come back when they are due.
+/// A request that waits for gossip, not for the account's rate, may be retried
+/// when the next gossip is due.
 #[test]
-fn a_request_that_waits_for_news_is_told_when_they_come() {
+fn a_request_that_waits_for_gossip_may_be_retried_when_it_is_due() {
     let mut limits = AccountLimits::new(Incarnation(0), true, SLACK);
     let view = ShareView {
         entries: ENTRIES,
@@ -500,7 +515,8 @@
     assert_eq!(limits.admit(at(1_250), &rule(), 30_000, view), Ok(()));
 }
 
-/// The totals that a hub passes on, against sums over all that was told to it.
+/// Compares the totals that a hub passes on with sums over all that was
+/// reported to it.
 #[test]
 fn totals_are_what_all_but_the_receiver_admitted() {
     let account = rule().name;
@@ -511,30 +527,34 @@
         reachable: 1,
     };
     hub.admit(now, &rule(), 7, alone).unwrap();
-    // The first was heard from its start on, the second only later.
+    // The hub receives gossip of the first entry from its start on, of the
+    // second only later.
     hub.note_peer_total(Incarnation(1), &account, 100, true);
     hub.note_peer_total(Incarnation(2), &account, 1_000, false);
     hub.note_peer_total(Incarnation(2), &account, 1_030, false);
-    // An older word changes nothing.
+    // An older message changes nothing.
     hub.note_peer_total(Incarnation(1), &account, 90, true);
-    let total = |hub: &AccountLimits, left_out| {
-        let left_out: Option<u64> = left_out;
-        let totals = hub.totals_without(left_out.map(Incarnation));
-        totals.into_iter().map(|t| t.units).collect::<Vec<_>>()
+    let total = |hub: &AccountLimits, receiver| {
+        let receiver: Option<u64> = receiver;
+        let totals = hub.totals_without(receiver.map(Incarnation));
+        totals
+            .into_iter()
+            .map(|total| total.units)
+            .collect::<Vec<_>>()
     };
     assert_eq!(total(&hub, None), [137]);
     assert_eq!(total(&hub, Some(1)), [37]);
     assert_eq!(total(&hub, Some(2)), [107]);
-    // What a life that is gone admitted stays in the totals.
+    // What an incarnation that is gone admitted stays in the totals.
     hub.retire(Incarnation(1));
     assert_eq!(total(&hub, None), [137]);
     assert_eq!(total(&hub, Some(1)), [137]);
 }
 
-/// A new holder restores what an earlier one wrote; what entries tell of the
-/// same lives beside it counts once.
+/// A new lease holder restores the counts that an earlier one wrote. Counts
+/// that the same incarnations also report count once.
 #[test]
-fn counts_that_are_restored_and_told_count_once() {
+fn restored_counts_that_are_also_reported_count_once() {
     let account: AccountName = "depots".parse().unwrap();
     let (lost, living) = (Incarnation(1), Incarnation(2));
     let mut earlier = UsageTable::new(Incarnation(3));
