--- a/lib/src/gateway/load_shedding.rs
+++ b/lib/src/gateway/load_shedding.rs
@@ -1,68 +1,72 @@
-//! Decides which requests are turned away when a service's replicas are full.
+//! Decides which requests are shed when the replicas of a service are full.
 //!
-//! Pure. The load pattern: half of the replicas are gone within a second, and
-//! for seconds no others come. Sent all the same, every request waits, all are
-//! late together, and what is late still takes the place of what could be in
-//! time. So a request that would wait too long to be in time is refused at once,
-//! and the less urgent ones before the others.
+//! Pure logic: no I/O and no clock. The case to handle: half of the replicas are lost
+//! within a second, and no new ones start for some seconds. If every request were
+//! still sent, all would queue and be late, and late requests would occupy the slots
+//! of requests that could be served in time. So a request whose wait would make it
+//! late is refused at once, and less urgent requests are refused first.
 
 use std::time::Duration;
 
-/// The share of its target latency that a request may be expected to take: the
-/// rest is for what is not known of the replicas.
-const EXPECTED_SHARE: f64 = 0.9;
-/// The share of the shortest target latency for which the most urgent request
-/// may wait for a slot.
-const URGENT_SHARE: f64 = 0.7;
-/// How much smaller that share is for each further step of urgency. All shares
-/// are of the same time: a less urgent request with a longer target would
-/// otherwise wait longer, and fill the queue in which urgent ones are turned
-/// away.
+/// The share of its target latency that a request may be expected to take. The
+/// remainder covers the error of the estimate.
+const MAX_LATENCY_SHARE: f64 = 0.9;
+/// The share of the shortest target latency that the most urgent request may wait for
+/// a slot.
+const URGENT_WAIT_SHARE: f64 = 0.7;
+/// The decrease of that share for each lower urgency. All shares refer to the shortest
+/// target latency: with a share of its own longer target, a less urgent request could
+/// wait longer and would fill the queue for which urgent ones are refused.
 const URGENCY_STEP: f64 = 0.3;
-/// The least such share.
-const LEAST_SHARE: f64 = 0.05;
-/// The part of a limit over which requests are refused with a rising chance.
-/// Hundreds of entries decide by the same news: a sharp limit would make all
-/// refuse in one moment and none in the next.
-const SOFT_PART: f64 = 1.6;
+/// The lower bound of that share.
+const MIN_WAIT_SHARE: f64 = 0.05;
+/// The width of the range around a limit, relative to the limit, in which the
+/// probability of refusal rises from 0 to 1. Hundreds of entries decide by the same
+/// gossip; with a sharp limit all of them would refuse at one moment and none at the
+/// next.
+const RAMP_WIDTH: f64 = 1.6;
 
-/// What is known of a request and of the replica that is best for it.
+/// The inputs of a decision: a request, and the best replica for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SheddingQuery {
-    /// When the first event or the answer is expected after the send.
+    /// The expected time from sending the request to the first event or the response.
     pub expected_latency: Duration,
-    /// How much of that is the wait for a slot.
+    /// The part of that time spent waiting for a slot.
     pub slot_wait: Duration,
-    /// The time until the first event or the answer that is in time.
+    /// The time within which the first event or the response is due.
     pub target_latency: Duration,
-    /// The shortest such time among the routes of the service.
+    /// The shortest target latency among the routes of the service.
     pub shortest_target: Duration,
     /// The urgency, 0 the most urgent.
     pub urgency: u8,
-    /// A number from 0 to 1 that differs for each request.
+    /// A random number from 0 to 1, different for each request.
     pub draw: f64,
 }
 
-/// Returns when a request that is turned away may come back; `None` if it is
-/// sent. One for which a slot is free is always sent: nobody waits for it.
+/// Decides whether to shed a request. Returns the delay after which the caller may
+/// retry, or `None` if the request is to be sent. A request for which a slot is free
+/// is always sent, since it makes no other request wait.
 pub fn shed_request(query: &SheddingQuery) -> Option<Duration> {
     if query.slot_wait.is_zero() {
         return None;
     }
-    let in_time = query.target_latency.mul_f64(EXPECTED_SHARE);
-    let patience = query.shortest_target.mul_f64(allowed_share(query.urgency));
-    let chance = excess(query.expected_latency, in_time).max(excess(query.slot_wait, patience));
-    (query.draw < chance)
+    let max_latency = query.target_latency.mul_f64(MAX_LATENCY_SHARE);
+    let max_wait = query.shortest_target.mul_f64(max_wait_share(query.urgency));
+    let probability = refusal_probability(query.expected_latency, max_latency)
+        .max(refusal_probability(query.slot_wait, max_wait));
+    (query.draw < probability)
         .then(|| query.expected_latency + query.expected_latency.mul_f64(query.draw))
 }
 
-/// Returns the chance with which a request is refused that takes `time` where
-/// `limit` is allowed: a half at the limit.
-fn excess(time: Duration, limit: Duration) -> f64 {
-    let over = time.as_secs_f64() / limit.as_secs_f64().max(f64::MIN_POSITIVE) - 1.0;
-    over / SOFT_PART + 0.5
+/// Returns the probability of refusing a request that takes `time` where `limit` is
+/// allowed: one half at the limit.
+fn refusal_probability(time: Duration, limit: Duration) -> f64 {
+    let excess = time.as_secs_f64() / limit.as_secs_f64().max(f64::MIN_POSITIVE) - 1.0;
+    excess / RAMP_WIDTH + 0.5
 }
 
-fn allowed_share(urgency: u8) -> f64 {
-    (URGENT_SHARE - URGENCY_STEP * f64::from(urgency)).max(LEAST_SHARE)
+/// Returns the share of the shortest target latency that a request may wait for a
+/// slot.
+fn max_wait_share(urgency: u8) -> f64 {
+    (URGENT_WAIT_SHARE - URGENCY_STEP * f64::from(urgency)).max(MIN_WAIT_SHARE)
 }
--- a/lib/src/gateway/replica_planner.rs
+++ b/lib/src/gateway/replica_planner.rs
@@ -1,9 +1,9 @@
-//! How many replicas a service is to have in each availability zone.
+//! Plans how many replicas a service has in each availability zone.
 //!
-//! Pure. Most replicas are reclaimable, spread evenly over all zones, with
-//! enough of them for the loss of one zone, or of two where they are cheap.
-//! What is missing while they are away is filled with others in the cheapest
-//! zones.
+//! Pure logic: no I/O and no clock. Most replicas are reclaimable and spread evenly
+//! over all zones, with enough of them to lose one zone, or two where they are cheap.
+//! While reclaimable replicas are unavailable, on-demand replicas in the cheapest zones
+//! replace them.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -15,98 +15,96 @@
 use crate::id::ZoneName;
 use crate::quantity::Timestamp;
 
-/// How busy a replica may be with reading prompts. Above, what generates
-/// beside it slows down twofold and more.
-const READING_FILLING: f64 = 0.6;
-/// How full the slots of a replica may be on average.
-const SLOT_FILLING: f64 = 0.9;
-/// Replicas beside what demand needs, for what the average does not show.
+/// The share of a replica's time that it may spend on prefill. Above it, generation
+/// beside the prefill slows down twofold and more.
+const PREFILL_UTILIZATION: f64 = 0.6;
+/// The average share of a replica's slots that may be occupied.
+const SLOT_UTILIZATION: f64 = 0.9;
+/// Replicas on top of the average demand, for the variation around it.
 const SPARE_REPLICAS: f64 = 2.0;
-/// The share of the replicas there at the start that is kept until demand is
-/// known: operators size a service for its busiest times.
-const START_SHARE: f64 = 0.4;
-/// The price of a reclaimable replica, relative to another, up to which enough
-/// of them are kept for the loss of two zones. With four zones that costs 0.67
-/// of the demand more than for one; replacing a second zone's by others costs
-/// a third of the demand at the full price for a quarter of a minute each time.
-const CHEAP_PRICE: f64 = 0.3;
-/// Over how long demand is averaged before replicas that are not reclaimable
-/// are ordered for it: shorter rises are over before such replicas start.
-const STEADY_TIME: Duration = Duration::from_secs(6);
-/// The share of the need for which replicas that are not reclaimable are
-/// ordered: what demand needs has room for such a rise of filling, and they
-/// cost several times as much as the others. Measured: 0.65, 0.8, 1.
-const BARE_COVER: f64 = 0.65;
-/// The share of the need for which they are ordered after a loss. None of the
-/// others is to be had then for a quarter of a minute, in which every caller
-/// beyond what is there is late. With 1.0 in place of 0.75, whole days are served
-/// better by 0.025 to 0.001, and replicas cost twice as much more (four days, two
-/// paired plays each).
-const ALARM_COVER: f64 = 0.8;
-/// How many further zones may be lost after one before an order is carried out.
-/// Reclaims come in groups, two of them within a second. With one, the same
-/// days are served 0.879 and 0.862 in place of 0.896 and 0.900 (cover of 0.75).
-const EXPECTED_LOSSES: usize = 2;
-/// Over how long the highest need counts after a loss: longer than entries take
-/// to hear of the demand of all others.
-const ALARM_NEED_TIME: Duration = Duration::from_secs(2);
-/// How long less must have been enough before fewer are ordered: a replica
-/// that leaves takes its kept prompts and its long streams along.
-const SHRINK_AFTER: Duration = Duration::from_secs(15);
-/// The same for replicas that are not reclaimable, which cost several times
-/// as much: about the time in which reclaimable ones settle.
-const FIXED_SHRINK_AFTER: Duration = Duration::from_secs(3);
-/// How long after a loss of reclaimable replicas another is expected. Reclaims
-/// come in groups within a quarter of a minute.
-const ALARM_TIME: Duration = Duration::from_secs(15);
-/// How much longer than its start an ordered replica is waited for: until an
-/// entry hears of its record.
-const COMING_MARGIN: Duration = Duration::from_secs(2);
-/// Over how many of the cheapest zones replicas that are not reclaimable are
-/// dealt.
-const FIXED_ZONES: usize = 2;
+/// The lower bound of the needed replicas, as a share of the replicas present when the
+/// planner starts. It is below 1 because operators size a service for its busiest
+/// times.
+const MIN_INITIAL_SHARE: f64 = 0.4;
+/// The price of a reclaimable replica, relative to an on-demand one, up to which enough
+/// reclaimable replicas are kept for the loss of two zones. With four zones this takes
+/// 0.67 of the demand in additional reclaimable replicas. Above the price, on-demand
+/// replicas replace those of the second zone: a third of the demand at the full price
+/// for 15 s at each loss.
+const CHEAP_PRICE_RATIO: f64 = 0.3;
+/// The window over which demand is averaged to order on-demand replicas. Shorter rises
+/// are over before such replicas have started.
+const STEADY_WINDOW: Duration = Duration::from_secs(6);
+/// The share of the needed replicas up to which on-demand replicas replace missing
+/// reclaimable ones. The remaining replicas can run above the planned utilization, and
+/// on-demand replicas cost several times as much as reclaimable ones.
+const ON_DEMAND_COVER: f64 = 0.65;
+/// The same share after a loss. No reclaimable replica can be had then for 15 s, and
+/// all requests beyond the capacity are late meanwhile.
+const ON_DEMAND_COVER_AFTER_LOSS: f64 = 0.8;
+/// The number of further zones that may be lost after a loss before an order takes
+/// effect. Reclaims come in groups, two of them within a second.
+const EXPECTED_FURTHER_LOSSES: usize = 2;
+/// The window whose highest need counts after a loss. It is longer than the demand of
+/// all entries takes to arrive by gossip.
+const LOSS_NEED_WINDOW: Duration = Duration::from_secs(2);
+/// How long fewer replicas must have been enough before the orders are lowered. A
+/// replica that stops loses its cached prompts and its long streams.
+const SCALE_DOWN_DELAY: Duration = Duration::from_secs(15);
+/// The same for on-demand replicas, which cost several times as much: about the time in
+/// which reclaimable replicas settle.
+const ON_DEMAND_SCALE_DOWN_DELAY: Duration = Duration::from_secs(3);
+/// How long after a loss of reclaimable replicas another one is expected. Reclaims come
+/// in groups within 15 s.
+const LOSS_WINDOW: Duration = Duration::from_secs(15);
+/// How long an ordered replica is expected beyond its startup time: until its record
+/// has reached this entry.
+const START_MARGIN: Duration = Duration::from_secs(2);
+/// The number of cheapest zones that get on-demand replicas first.
+const ON_DEMAND_ZONES: usize = 2;
 
-/// The demand on a service, in replicas that would be busy all the time.
+/// The demand for a service, in replicas that would be busy all the time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaDemand {
-    /// By the requests that run, over the slots of one replica.
+    /// The requests that run, divided by the slots of one replica.
     pub slots: f64,
-    /// By the prompt tokens to be read, over what one replica reads.
-    pub reading: f64,
+    /// The prompt tokens that need prefill, divided by the prefill rate of one replica.
+    pub prefill: f64,
 }
 
 impl ReplicaDemand {
-    /// Returns how many replicas serve the demand well.
+    /// Returns the number of replicas that serve the demand well.
     pub fn replicas(self) -> f64 {
-        self.reading / READING_FILLING + self.slots / SLOT_FILLING + SPARE_REPLICAS
+        self.prefill / PREFILL_UTILIZATION + self.slots / SLOT_UTILIZATION + SPARE_REPLICAS
     }
 }
 
-/// The replicas of one zone that take work.
+/// The replicas of one zone that accept requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaSupply {
-    /// Those that may be reclaimed.
+    /// Replicas that may be reclaimed.
     pub reclaimable: u32,
-    /// The others.
-    pub fixed: u32,
+    /// The other replicas.
+    pub on_demand: u32,
 }
 
-/// The replicas that take work, by zone.
+/// The replicas that accept requests, by zone.
 pub type ZoneSupply = BTreeMap<ZoneName, ReplicaSupply>;
 
-/// A number that rises at once and falls only after a while.
+/// A number that rises immediately, and falls after a lower number was wanted for a
+/// delay.
 #[derive(Clone, Copy, Debug)]
-struct SlowFall {
+struct DelayedDecrease {
     value: u32,
-    fall_after: Duration,
+    delay: Duration,
     lower_since: Option<Timestamp>,
 }
 
-impl SlowFall {
-    fn new(value: u32, fall_after: Duration) -> Self {
+impl DelayedDecrease {
+    fn new(value: u32, delay: Duration) -> Self {
         Self {
             value,
-            fall_after,
+            delay,
             lower_since: None,
         }
     }
@@ -118,7 +116,7 @@
             return self.value;
         }
         let since = *self.lower_since.get_or_insert(now);
-        if now.since(since) >= self.fall_after {
+        if now.since(since) >= self.delay {
             self.value = wanted;
             self.lower_since = None;
         }
@@ -126,23 +124,23 @@
     }
 }
 
-/// The values seen within a while.
+/// The values of the last while.
 #[derive(Clone, Debug)]
 struct RecentValues {
-    span: Duration,
+    window: Duration,
     values: VecDeque<(Timestamp, u32)>,
 }
 
 impl RecentValues {
-    fn new(span: Duration) -> Self {
+    fn new(window: Duration) -> Self {
         let values = VecDeque::new();
-        Self { span, values }
+        Self { window, values }
     }
 
     fn note(&mut self, now: Timestamp, value: u32) {
         self.values.push_back((now, value));
-        let span = self.span;
-        self.values.retain(|(at, _)| now.since(*at) <= span);
+        let window = self.window;
+        self.values.retain(|(at, _)| now.since(*at) <= window);
     }
 
     fn highest(&self) -> u32 {
@@ -156,9 +154,10 @@
     }
 }
 
-/// How many replicas are to be in a zone, and since when.
+/// The on-demand replicas ordered for a zone that have not all started, and when they
+/// were ordered.
 #[derive(Clone, Copy, Debug)]
-struct ComingReplicas {
+struct PendingReplicas {
     count: u32,
     since: Timestamp,
 }
@@ -166,54 +165,56 @@
 /// Plans the replicas of one service over time.
 #[derive(Clone, Debug)]
 pub struct ReplicaPlanner {
-    /// The fewest replicas that are kept.
-    least: u32,
-    /// What was there, as far as losses of zones leave it.
-    start: u32,
-    /// What was needed within [`SHRINK_AFTER`], for reclaimable replicas.
+    /// The lower bound of the needed replicas.
+    min_needed: u32,
+    /// The replicas present when the planner started, without those spare for the loss
+    /// of zones.
+    initial: u32,
+    /// The needed replicas within [`SCALE_DOWN_DELAY`], to order reclaimable ones.
     recent: RecentValues,
-    /// What was needed within [`STEADY_TIME`], for others.
+    /// The needed replicas within [`STEADY_WINDOW`], to order on-demand ones.
     steady: RecentValues,
-    /// What was needed within [`ALARM_NEED_TIME`], for others after a loss.
+    /// The needed replicas within [`LOSS_NEED_WINDOW`], to order on-demand ones after a
+    /// loss.
     latest: RecentValues,
-    fixed: SlowFall,
-    /// Replicas that are not reclaimable and were ordered lately.
-    coming: BTreeMap<ZoneName, ComingReplicas>,
+    on_demand: DelayedDecrease,
+    /// On-demand replicas that were ordered and have not all started.
+    pending: BTreeMap<ZoneName, PendingReplicas>,
     /// The reclaimable replicas of each zone at the last plan.
-    reached: BTreeMap<ZoneName, u32>,
-    /// When zones lost theirs, within [`ALARM_TIME`].
+    last_reclaimable: BTreeMap<ZoneName, u32>,
+    /// When zones lost their reclaimable replicas, within [`LOSS_WINDOW`].
     losses: Vec<Timestamp>,
-    /// Whether this is the first plan since the whole system started, before
-    /// which there were no callers.
+    /// Whether this is the first plan since the whole system started, before which
+    /// there were no callers.
     is_first_plan: bool,
 }
 
 impl ReplicaPlanner {
-    /// Returns a planner that begins with the replicas that are there. What
-    /// an earlier holder of the lease ordered shows in them. `first_start` is
-    /// only right for the first holder since the whole system started.
+    /// Returns a planner that starts from the present replicas, which also result from
+    /// the orders of earlier lease holders. `first_start` may only be true for the
+    /// first lease holder since the whole system started.
     pub fn new(rule: &ScaleRule, supply: &ZoneSupply, first_start: bool) -> Self {
         let reclaimable: u32 = supply.values().map(|zone| zone.reclaimable).sum();
-        let fixed: u32 = supply.values().map(|zone| zone.fixed).sum();
+        let on_demand: u32 = supply.values().map(|zone| zone.on_demand).sum();
         let zones = supply.len().max(1) as u32;
-        let carried = reclaimable * carrying_zones(rule, supply.len()) / zones;
-        let least = (f64::from(fixed + reclaimable) * START_SHARE).ceil() as u32;
-        let there = fixed + carried;
+        let without_spare = reclaimable * demand_zones(rule, supply.len()) / zones;
+        let min_needed = (f64::from(on_demand + reclaimable) * MIN_INITIAL_SHARE).ceil() as u32;
+        let initial = on_demand + without_spare;
         Self {
-            least,
-            start: there,
-            recent: RecentValues::new(SHRINK_AFTER),
-            steady: RecentValues::new(STEADY_TIME),
-            latest: RecentValues::new(ALARM_NEED_TIME),
-            fixed: SlowFall::new(fixed.min(there), FIXED_SHRINK_AFTER),
-            coming: BTreeMap::new(),
-            reached: BTreeMap::new(),
+            min_needed,
+            initial,
+            recent: RecentValues::new(SCALE_DOWN_DELAY),
+            steady: RecentValues::new(STEADY_WINDOW),
+            latest: RecentValues::new(LOSS_NEED_WINDOW),
+            on_demand: DelayedDecrease::new(on_demand.min(initial), ON_DEMAND_SCALE_DOWN_DELAY),
+            pending: BTreeMap::new(),
+            last_reclaimable: BTreeMap::new(),
             losses: Vec::new(),
             is_first_plan: first_start,
         }
     }
 
-    /// Returns the orders for every zone, of both kinds.
+    /// Returns the orders of reclaimable and on-demand replicas for every zone.
     pub fn plan(
         &mut self,
         now: Timestamp,
@@ -224,22 +225,22 @@
     ) -> Vec<ReplicaOrder> {
         self.note_demand(now, demand);
         let zones = zones_by_price(rule);
-        let total = self.recent.highest();
-        let spread = total.div_ceil(carrying_zones(rule, zones.len()));
-        self.watch_losses(now, supply, spread);
+        let needed = self.recent.highest();
+        let per_zone = needed.div_ceil(demand_zones(rule, zones.len()));
+        self.note_losses(now, supply, per_zone);
         let missing = self.missing_replicas(supply);
         if self.is_first_plan && demand == ReplicaDemand::default() {
-            self.fixed = SlowFall::new(missing, FIXED_SHRINK_AFTER);
+            self.on_demand = DelayedDecrease::new(missing, ON_DEMAND_SCALE_DOWN_DELAY);
         }
         self.is_first_plan = false;
-        let fixed = self.fixed.update(now, missing);
-        let dealt = deal(fixed, &self.fixed_places(now, rule, &zones, supply));
-        self.note_coming(now, &zones, &dealt, supply);
+        let on_demand = self.on_demand.update(now, missing);
+        let counts = distribute(on_demand, &self.on_demand_zones(now, rule, &zones, supply));
+        self.note_pending(now, &zones, &counts, supply);
         let mut orders = Vec::new();
-        for (zone, fixed) in zones.iter().zip(dealt) {
-            let least = rule.min.saturating_sub(fixed);
-            let reclaimable = spread.max(least).min(rule.max - fixed);
-            for (reclaimable, count) in [(true, reclaimable), (false, fixed)] {
+        for (zone, on_demand) in zones.iter().zip(counts) {
+            let min_reclaimable = rule.min.saturating_sub(on_demand);
+            let reclaimable = per_zone.max(min_reclaimable).min(rule.max - on_demand);
+            for (reclaimable, count) in [(true, reclaimable), (false, on_demand)] {
                 orders.push(ReplicaOrder {
                     service: service.clone(),
                     zone: (*zone).clone(),
@@ -251,116 +252,121 @@
         orders
     }
 
-    /// Returns where replicas that are not reclaimable are, or come soon, and may
-    /// be. Those that come count: zones are filled in other orders as room in them
-    /// changes, and what is dealt elsewhere meanwhile would come beside them.
-    fn fixed_places(
+    /// Returns for each zone the on-demand replicas that run or start there, and the
+    /// room for them. Starting replicas count: the room in zones changes from plan to
+    /// plan, and a replacement placed in another zone would be additional to them.
+    fn on_demand_zones(
         &self,
         now: Timestamp,
         rule: &ScaleRule,
         zones: &[&ZoneName],
         supply: &ZoneSupply,
-    ) -> Vec<FixedPlace> {
-        let place = |zone: &&ZoneName| {
-            let there = supply.get(*zone).copied().unwrap_or_default();
-            let coming = self
-                .coming
+    ) -> Vec<OnDemandZone> {
+        let on_demand_zone = |zone: &&ZoneName| {
+            let present = supply.get(*zone).copied().unwrap_or_default();
+            let pending = self
+                .pending
                 .get(*zone)
-                .filter(|coming| now.since(coming.since) < rule.startup + COMING_MARGIN);
-            FixedPlace {
-                there: there.fixed.max(coming.map_or(0, |coming| coming.count)),
-                // Only those that are there take room: what cannot be had now must
-                // not push out what serves in its place.
-                room: rule.max.saturating_sub(there.reclaimable),
+                .filter(|pending| now.since(pending.since) < rule.startup + START_MARGIN);
+            OnDemandZone {
+                replicas: present
+                    .on_demand
+                    .max(pending.map_or(0, |pending| pending.count)),
+                // Ordered reclaimable replicas take no room: they may be unavailable,
+                // and must not displace the on-demand ones that serve instead.
+                room: rule.max.saturating_sub(present.reclaimable),
             }
         };
-        zones.iter().map(place).collect()
+        zones.iter().map(on_demand_zone).collect()
     }
 
-    /// Notes the zones to which replicas that are not reclaimable are to come.
-    fn note_coming(
+    /// Remembers the zones that get more on-demand replicas than they have.
+    fn note_pending(
         &mut self,
         now: Timestamp,
         zones: &[&ZoneName],
-        dealt: &[u32],
+        counts: &[u32],
         supply: &ZoneSupply,
     ) {
-        for (zone, count) in zones.iter().zip(dealt) {
-            let there = supply.get(*zone).map_or(0, |zone| zone.fixed);
-            let known = self.coming.get(*zone).map_or(0, |coming| coming.count);
-            if *count <= there {
-                self.coming.remove(*zone);
+        for (zone, count) in zones.iter().zip(counts) {
+            let present = supply.get(*zone).map_or(0, |zone| zone.on_demand);
+            let known = self.pending.get(*zone).map_or(0, |pending| pending.count);
+            if *count <= present {
+                self.pending.remove(*zone);
             } else if *count != known {
-                let coming = ComingReplicas {
+                let pending = PendingReplicas {
                     count: *count,
                     since: now,
                 };
-                self.coming.insert((*zone).clone(), coming);
+                self.pending.insert((*zone).clone(), pending);
             }
         }
     }
 
-    /// Returns how many replicas that are not reclaimable there have to be.
+    /// Returns the number of on-demand replicas that have to replace reclaimable ones.
     fn missing_replicas(&self, supply: &ZoneSupply) -> u32 {
         let (needed, losses) = if self.losses.is_empty() {
-            (f64::from(self.steady.average()) * BARE_COVER, 0)
+            (f64::from(self.steady.average()) * ON_DEMAND_COVER, 0)
         } else {
-            // The highest need shows what spare replicas are there for.
+            // The highest need already includes the variation that the spare replicas
+            // are for.
             let needed = f64::from(self.latest.highest()) - SPARE_REPLICAS;
-            (needed * ALARM_COVER, EXPECTED_LOSSES)
+            (needed * ON_DEMAND_COVER_AFTER_LOSS, EXPECTED_FURTHER_LOSSES)
         };
-        let bare = needed.max(0.0).ceil() as u32;
-        bare.saturating_sub(left_after(losses, supply))
+        let covered = needed.max(0.0).ceil() as u32;
+        covered.saturating_sub(remaining_reclaimable(losses, supply))
     }
 
-    /// Notes how many replicas are needed now. Without any demand there are no
-    /// callers yet, and nothing is known: reclaimable ones come as if all that
-    /// was there were needed, and few others wait for them.
+    /// Adds the number of replicas needed now. Zero demand means that there are no
+    /// callers yet and the need is unknown. Reclaimable replicas are then ordered as if
+    /// all initial replicas were needed, and on-demand ones only for the lower bound.
     fn note_demand(&mut self, now: Timestamp, demand: ReplicaDemand) {
-        let (needed, needed_surely) = if demand == ReplicaDemand::default() {
-            (self.start, self.least)
+        let (needed, surely_needed) = if demand == ReplicaDemand::default() {
+            (self.initial, self.min_needed)
         } else {
-            let needed = (demand.replicas().ceil() as u32).max(self.least);
+            let needed = (demand.replicas().ceil() as u32).max(self.min_needed);
             (needed, needed)
         };
         if self.recent.values.is_empty() {
-            // What an earlier holder saw is not known here, only its orders.
-            self.recent.note(now, self.start);
+            // The demand before this planner started is unknown. The initial replicas
+            // stand for it.
+            self.recent.note(now, self.initial);
         }
         self.recent.note(now, needed);
-        self.steady.note(now, needed_surely);
-        self.latest.note(now, needed_surely);
+        self.steady.note(now, surely_needed);
+        self.latest.note(now, surely_needed);
     }
 
-    /// Notes zones that lost half of their reclaimable replicas or more without
-    /// an order. Others often follow within seconds, and new ones are not to be
-    /// had then. Fewer are crashes of single replicas, which announce nothing.
-    fn watch_losses(&mut self, now: Timestamp, supply: &ZoneSupply, spread: u32) {
-        for (zone, there) in supply {
-            let reached = self.reached.entry(zone.clone()).or_default();
-            *reached = (*reached).min(spread);
-            if *reached > 0 && there.reclaimable * 2 <= *reached {
+    /// Remembers zones that lost at least half of their reclaimable replicas without an
+    /// order. Further losses often follow within seconds, and no new reclaimable
+    /// replicas can be had then. Smaller losses are crashes of single replicas, after
+    /// which no further loss is expected.
+    fn note_losses(&mut self, now: Timestamp, supply: &ZoneSupply, per_zone: u32) {
+        for (zone, present) in supply {
+            let last = self.last_reclaimable.entry(zone.clone()).or_default();
+            *last = (*last).min(per_zone);
+            if *last > 0 && present.reclaimable * 2 <= *last {
                 self.losses.push(now);
             }
-            *reached = there.reclaimable;
+            *last = present.reclaimable;
         }
-        self.losses.retain(|at| now.since(*at) < ALARM_TIME);
+        self.losses.retain(|at| now.since(*at) < LOSS_WINDOW);
     }
 }
 
-/// Returns how many reclaimable replicas are left once so many more zones lose
-/// theirs, those that have the most first.
-fn left_after(losses: usize, supply: &ZoneSupply) -> u32 {
-    let mut there: Vec<u32> = supply.values().map(|zone| zone.reclaimable).collect();
-    there.sort_unstable();
-    let kept = there.len().saturating_sub(losses);
-    there[..kept].iter().sum()
+/// Returns how many reclaimable replicas remain after the loss of so many zones, those
+/// with the most replicas first.
+fn remaining_reclaimable(losses: usize, supply: &ZoneSupply) -> u32 {
+    let mut counts: Vec<u32> = supply.values().map(|zone| zone.reclaimable).collect();
+    counts.sort_unstable();
+    let remaining = counts.len().saturating_sub(losses);
+    counts[..remaining].iter().sum()
 }
 
-/// Returns in how many of the zones the reclaimable replicas carry the whole
-/// demand together; those in the others are there for losses.
-fn carrying_zones(rule: &ScaleRule, zones: usize) -> u32 {
-    let spare = if rule.reclaimable_price <= CHEAP_PRICE {
+/// Returns the number of zones whose reclaimable replicas together carry the whole
+/// demand. Those of the other zones are spare for losses.
+fn demand_zones(rule: &ScaleRule, zones: usize) -> u32 {
+    let spare = if rule.reclaimable_price <= CHEAP_PRICE_RATIO {
         2
     } else {
         1
@@ -374,38 +380,40 @@
     zones.into_iter().map(|(zone, _)| zone).collect()
 }
 
-/// Where replicas that are not reclaimable may be.
+/// The on-demand replicas of a zone.
 #[derive(Clone, Copy, Debug)]
-struct FixedPlace {
-    there: u32,
+struct OnDemandZone {
+    /// The replicas that run or start.
+    replicas: u32,
+    /// The most replicas that may be there.
     room: u32,
 }
 
-/// Deals `total` over places in order of price. Those that are there stay:
-/// moving one costs two for the time of a start. Others come evenly over the
-/// first [`FIXED_ZONES`], then over the rest.
-fn deal(total: u32, places: &[FixedPlace]) -> Vec<u32> {
-    let mut dealt = Vec::new();
+/// Distributes `total` replicas over zones in order of price. Present replicas stay in
+/// their zones, because moving one costs two replicas for the time of a start. The
+/// others are spread evenly over the first [`ON_DEMAND_ZONES`], then over all zones.
+fn distribute(total: u32, zones: &[OnDemandZone]) -> Vec<u32> {
+    let mut counts = Vec::new();
     let mut left = total;
-    for place in places {
-        let kept = place.there.min(place.room).min(left);
-        dealt.push(kept);
+    for zone in zones {
+        let kept = zone.replicas.min(zone.room).min(left);
+        counts.push(kept);
         left -= kept;
     }
-    for group in [0..FIXED_ZONES.min(places.len()), 0..places.len()] {
+    for group in [0..ON_DEMAND_ZONES.min(zones.len()), 0..zones.len()] {
         loop {
-            let has_room = |index: &usize| dealt[*index] < places[*index].room;
+            let has_room = |index: &usize| counts[*index] < zones[*index].room;
             let open: Vec<usize> = group.clone().filter(has_room).collect();
             if left == 0 || open.is_empty() {
                 break;
             }
             for index in open {
                 if left > 0 {
-                    dealt[index] += 1;
+                    counts[index] += 1;
                     left -= 1;
                 }
             }
         }
     }
-    dealt
+    counts
 }
--- a/lib/src/gateway/replica_scaler.rs
+++ b/lib/src/gateway/replica_scaler.rs
@@ -1,8 +1,8 @@
-//! Plans the replicas of the services that may be scaled, and orders them.
+//! Scales the replicas of services: plans how many are needed, and orders them.
 //!
-//! Every entry that may come to hold the lease plans along, so that the next
-//! holder knows the losses and the demand of the last quarter of a minute. Only
-//! the holder gives orders.
+//! Every entry that may become the lease holder plans as a standby, so that the next
+//! holder knows the losses and the demand of the last 15 s. Only the lease holder
+//! orders replicas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,36 +26,36 @@
 use crate::id::ZoneName;
 use crate::quantity::Timestamp;
 
-/// The pause between looks at the replicas.
-const PLAN_PAUSE: Duration = Duration::from_millis(1_000);
-/// How long after its last plan an entry begins to plan anew: some plans may
-/// be missed while the cloud answers slowly.
-const STALE_PLANS_AFTER: Duration = Duration::from_secs(6);
-/// How long after the first start of the whole system replicas are first
-/// planned: all of them have written their records by then, at least one every
-/// two seconds.
-const SETTLED_AFTER: Timestamp = Timestamp::from_millis(4_000);
-/// The same for an entry that starts again later: the replicas' records are in
-/// the store already, and other entries have told their load several times.
-const RESTART_SETTLED_AFTER: Timestamp = Timestamp::from_millis(1_200);
-/// After how long an order that seems not to be carried out is given again:
-/// a replica starts in four seconds, and some orders are done late.
-const REORDER_AFTER: Duration = Duration::from_secs(7);
-/// The same for an order that was refused: none are to be had for a quarter of
-/// a minute, and each second without costs more than a call.
-const REFUSED_REORDER_AFTER: Duration = Duration::from_millis(2_500);
+/// The interval between plans.
+const PLAN_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The time without a plan after which an entry starts new planners. Some plans may be
+/// skipped while the cloud responds slowly.
+const STALE_PLAN_AGE: Duration = Duration::from_secs(6);
+/// The time from an entry's start to its first plan, if the whole system starts at once.
+/// All replicas have written their records by then, which they do at least every two
+/// seconds.
+const FIRST_PLAN_AT: Timestamp = Timestamp::from_millis(4_000);
+/// The same for an entry that restarts later. The replicas' records are already in the
+/// store then, and other entries have sent their load several times.
+const FIRST_PLAN_AFTER_RESTART_AT: Timestamp = Timestamp::from_millis(1_200);
+/// The time after which an order without a visible effect is repeated. A replica takes
+/// four seconds to start, and some orders take effect late.
+const REORDER_INTERVAL: Duration = Duration::from_secs(7);
+/// The same for a refused order. No replica can be had for 15 s then, and each second
+/// without one costs more than a call.
+const REFUSED_REORDER_INTERVAL: Duration = Duration::from_millis(2_500);
 
-/// An order as it was given last.
+/// The last order for a service, a zone and a kind of replica.
 #[derive(Clone, Copy)]
-struct GivenOrder {
+struct LastOrder {
     count: u32,
-    again_at: Timestamp,
+    repeat_at: Timestamp,
 }
 
-/// The plans of one entry, and the orders that it gave.
+/// The planners of one entry, and the orders that it placed.
 pub struct ReplicaScaler {
     planners: BTreeMap<ServiceName, ReplicaPlanner>,
-    orders: BTreeMap<(ServiceName, ZoneName, bool), GivenOrder>,
+    orders: BTreeMap<(ServiceName, ZoneName, bool), LastOrder>,
     planned_at: Option<Timestamp>,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl ReplicaScaler {
-    /// Returns a desk that has planned nothing.
+    /// Returns a scaler without plans and orders.
     pub fn new() -> Self {
         Self {
             planners: BTreeMap::new(),
@@ -75,25 +75,24 @@
         }
     }
 
-    /// Forgets the orders that were given: another holder may have given others.
+    /// Forgets the last orders, since another lease holder may have placed others.
     pub fn forget_orders(&mut self) {
         self.orders.clear();
     }
 
-    /// Plans if it is time to, without giving orders.
+    /// Plans if a plan is due, without placing orders.
     pub fn plan_as_standby(&mut self, context: &GatewayContext) {
         self.plan(context);
     }
 
-    /// Plans if it is time to, and gives the orders that changed or were not
-    /// carried out.
+    /// Plans if a plan is due, and places the orders that changed or had no effect.
     ///
     /// # Errors
     ///
-    /// A holder with a higher fence has called.
+    /// A lease holder with a higher fencing token has made a call.
     pub async fn order(&mut self, context: &Arc<GatewayContext>) -> Result<(), PlatformError> {
         for order in self.plan(context) {
-            self.give_order(context, order).await?;
+            self.place_order(context, order).await?;
         }
         Ok(())
     }
@@ -103,7 +102,7 @@
         if !self.is_due(context, now) {
             return Vec::new();
         }
-        if self.has_missed_plans(now) {
+        if self.is_stale(now) {
             self.planners.clear();
         }
         self.planned_at = Some(now);
@@ -119,20 +118,22 @@
     }
 
     fn is_due(&self, context: &GatewayContext, now: Timestamp) -> bool {
-        let settled = if context.settings.first_start {
-            SETTLED_AFTER
+        let first_plan_at = if context.settings.first_start {
+            FIRST_PLAN_AT
         } else {
-            RESTART_SETTLED_AFTER
+            FIRST_PLAN_AFTER_RESTART_AT
         };
-        let rested = self.planned_at.is_none_or(|at| now.since(at) >= PLAN_PAUSE);
-        rested && now >= settled && context.backends.lock().confirmed_at().is_some()
+        let interval_over = self
+            .planned_at
+            .is_none_or(|at| now.since(at) >= PLAN_INTERVAL);
+        interval_over && now >= first_plan_at && context.backends.lock().confirmed_at().is_some()
     }
 
-    /// Returns whether this entry stood by, then did not for a while, so that
-    /// what it takes for lost now may have gone long ago.
-    fn has_missed_plans(&self, now: Timestamp) -> bool {
+    /// Returns whether this entry planned before, but not for a while. What its planners
+    /// would take for a sudden loss may have happened gradually in between.
+    fn is_stale(&self, now: Timestamp) -> bool {
         self.planned_at
-            .is_some_and(|at| now.since(at) > STALE_PLANS_AFTER)
+            .is_some_and(|at| now.since(at) > STALE_PLAN_AGE)
     }
 
     fn plan_service(
@@ -151,46 +152,49 @@
             .entry(service.name.clone())
             .or_insert_with(|| ReplicaPlanner::new(rule, &supply, first_start));
         let orders = planner.plan(now, &service.name, rule, demand, &supply);
-        let there = supply_totals(&supply);
+        let present = total_supply(&supply);
         info!(context.log, "replicas planned"; "service" => %service.name,
-            "demand_slots" => demand.slots, "demand_reading" => demand.reading,
-            "reclaimable" => there.reclaimable, "fixed" => there.fixed,
-            "planned_reclaimable" => ordered(&orders, true),
-            "planned_fixed" => ordered(&orders, false));
+            "demand_slots" => demand.slots, "demand_reading" => demand.prefill,
+            "reclaimable" => present.reclaimable, "fixed" => present.on_demand,
+            "planned_reclaimable" => total_ordered(&orders, true),
+            "planned_fixed" => total_ordered(&orders, false));
         orders
     }
 
-    async fn give_order(
+    async fn place_order(
         &mut self,
         context: &Arc<GatewayContext>,
         order: ReplicaOrder,
     ) -> Result<(), PlatformError> {
         let now = context.now();
         let key = (order.service.clone(), order.zone.clone(), order.reclaimable);
-        let given = self.orders.get(&key).copied();
-        let there = count_replicas(context, &order);
-        let is_done = |given: GivenOrder| there == order.count || now < given.again_at;
-        if given.is_some_and(|given| given.count == order.count && is_done(given)) {
+        let last = self.orders.get(&key).copied();
+        let present = count_replicas(context, &order);
+        let is_settled = |last: LastOrder| present == order.count || now < last.repeat_at;
+        if last.is_some_and(|last| last.count == order.count && is_settled(last)) {
             return Ok(());
         }
         let cloud = &context.platform.cloud;
-        let made = call_cloud(context, |terms| cloud.order_replicas(terms, &order)).await;
-        // Without the right to act the order is given with a later plan.
-        let Some(CallOutcome { call, result }) = made else {
+        let outcome = call_cloud(context, |credentials| {
+            cloud.order_replicas(credentials, &order)
+        })
+        .await;
+        // Without a valid lease no call was made. A later plan repeats the order.
+        let Some(CallOutcome { call, result }) = outcome else {
             return Ok(());
         };
         info!(context.log, "replicas ordered"; "service" => %order.service, "zone" => %order.zone,
-            "reclaimable" => order.reclaimable, "count" => order.count, "there" => there,
+            "reclaimable" => order.reclaimable, "count" => order.count, "there" => present,
             "fence" => call.credentials.fencing_token.0, "began_ms" => call.began_ms,
             "right_until_ms" => call.lease_expires_ms,
             "error" => result.as_ref().err().map(ToString::to_string));
-        let pause = match &result {
-            Ok(()) => REORDER_AFTER,
-            Err(_) => REFUSED_REORDER_AFTER,
+        let interval = match &result {
+            Ok(()) => REORDER_INTERVAL,
+            Err(_) => REFUSED_REORDER_INTERVAL,
         };
         let count = order.count;
-        let again_at = now.after(pause);
-        self.orders.insert(key, GivenOrder { count, again_at });
+        let repeat_at = now.after(interval);
+        self.orders.insert(key, LastOrder { count, repeat_at });
         match result {
             Err(PlatformError::Fenced) => Err(PlatformError::Fenced),
             _ => Ok(()),
@@ -200,23 +204,23 @@
 
 fn count_replicas(context: &GatewayContext, order: &ReplicaOrder) -> u32 {
     let backends = context.backends.lock();
-    let there = backends.of_service(&order.service).filter(|backend| {
+    let present = backends.of_service(&order.service).filter(|backend| {
         let record = &backend.record;
         record.zone == order.zone && record.reclaimable == order.reclaimable && !record.draining
     });
-    there.count() as u32
+    present.count() as u32
 }
 
-/// Measures demand as it is offered, and as it runs. Where replicas are lost, what
-/// runs is bounded by what is left; entries of earlier versions do not tell what
-/// is offered.
+/// Measures the demand by the work that callers offer and by the requests that run.
+/// After a loss of replicas, the requests that run are bounded by the remaining
+/// replicas; entries of earlier versions do not send the offered work.
 fn measure_demand(context: &GatewayContext, service: &ServiceName, slots: u32) -> ReplicaDemand {
     let now = context.now();
     let (running, token_rate): (u32, f64) = {
         let backends = context.backends.lock();
         let of_service = backends.of_service(service);
-        // Requests that wait are not counted: a queue that built up once would
-        // be taken for demand until it is gone.
+        // Requests that wait are not counted. A queue from an earlier overload would
+        // otherwise count as demand until it is gone.
         let running = of_service.map(|b| b.occupancy(now).min(slots)).sum();
         (
             running,
@@ -224,17 +228,19 @@
         )
     };
     let own = own_demand(context);
-    let own = own.iter().filter(|work| work.service == service.as_str());
+    let own = own
+        .iter()
+        .filter(|demand| demand.service == service.as_str());
     let peers = context.peers.lock();
     let (mut tokens_per_s, mut busy_milli) = (0, 0);
-    for work in own.chain(peers.service_demand(now, service)) {
-        tokens_per_s += work.tokens_per_s;
-        busy_milli += work.busy_milli;
+    for demand in own.chain(peers.service_demand(now, service)) {
+        tokens_per_s += demand.tokens_per_s;
+        busy_milli += demand.busy_milli;
     }
     let busy = (busy_milli as f64 / 1_000.0).max(f64::from(running));
     ReplicaDemand {
         slots: busy / f64::from(slots.max(1)),
-        reading: tokens_per_s as f64 / token_rate,
+        prefill: tokens_per_s as f64 / token_rate,
     }
 }
 
@@ -242,31 +248,31 @@
     let backends = context.backends.lock();
     let zones = rule.zone_prices.keys().cloned();
     let mut supply: ZoneSupply = zones.map(|zone| (zone, ReplicaSupply::default())).collect();
-    let working = backends
+    let available = backends
         .of_service(service)
         .filter(|backend| backend.accepts_requests() && !backend.is_missing());
-    for backend in working {
+    for backend in available {
         let zone = supply.entry(backend.record.zone.clone()).or_default();
         if backend.record.reclaimable {
             zone.reclaimable += 1;
         } else {
-            zone.fixed += 1;
+            zone.on_demand += 1;
         }
     }
     supply
 }
 
-/// Sums the replicas that take work over all zones.
-fn supply_totals(supply: &ZoneSupply) -> ReplicaSupply {
+/// Sums the replicas of all zones.
+fn total_supply(supply: &ZoneSupply) -> ReplicaSupply {
     let sum = |count: fn(&ReplicaSupply) -> u32| supply.values().map(count).sum();
     ReplicaSupply {
         reclaimable: sum(|zone| zone.reclaimable),
-        fixed: sum(|zone| zone.fixed),
+        on_demand: sum(|zone| zone.on_demand),
     }
 }
 
-/// Sums the replicas of one kind that are ordered over all zones.
-fn ordered(orders: &[ReplicaOrder], reclaimable: bool) -> u32 {
+/// Sums the ordered replicas of one kind over all zones.
+fn total_ordered(orders: &[ReplicaOrder], reclaimable: bool) -> u32 {
     let of_kind = orders.iter().filter(|o| o.reclaimable == reclaimable);
     of_kind.map(|order| order.count).sum()
 }
--- a/lib/src/gateway/retry_budget.rs
+++ b/lib/src/gateway/retry_budget.rs
@@ -1,8 +1,9 @@
-//! How often requests may be sent to a second backend server.
+//! Bounds how often requests are retried at another backend server.
 //!
-//! Pure. Every entry earns a share of the requests it takes itself and has a
-//! part of the fixed reserve of all entries, so that the sum over all entries
-//! stays below the bound without any talk between them, whatever is cut.
+//! Pure logic: no I/O and no clock. Every entry earns retries in proportion to the
+//! requests that it accepts itself, and has an equal part of a reserve that all
+//! entries share. So the sum over all entries stays below the bound without
+//! coordination, even while entries are partitioned.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,48 +12,49 @@
 use crate::id::ServiceName;
 use crate::quantity::Timestamp;
 
-/// The bound on sends beyond the first, over all entries.
+/// The bound on retries over all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetRule {
-    /// Sends beyond the first for each request in the window.
+    /// Retries for each request within the window.
     pub ratio: f64,
-    /// Sends beyond the first that are always allowed in the window.
+    /// Retries that are always allowed within the window.
     pub reserve: f64,
     /// The length of the window.
     pub window: Duration,
 }
 
-/// The part of the bound that is used; the rest covers requests that end and
-/// begin at the edges of the window.
+/// The share of the bound that is used. The remainder covers requests that begin or
+/// end at the edges of the window.
 const USED_SHARE: f64 = 0.8;
 
+/// When requests for one service were sent within the window.
 #[derive(Clone, Debug, Default)]
 struct ServiceSends {
     first: VecDeque<Timestamp>,
-    again: VecDeque<Timestamp>,
+    retries: VecDeque<Timestamp>,
 }
 
-/// The sends of one entry within the window, by service.
+/// The requests and retries of one entry within the window, by service.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     services: BTreeMap<ServiceName, ServiceSends>,
 }
 
 impl RetryBudget {
-    /// Returns a budget without any sends.
+    /// Returns a budget without requests.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a request for a service.
+    /// Counts a request for a service.
     pub fn note_request(&mut self, now: Timestamp, service: &ServiceName, rule: &RetryBudgetRule) {
         let sends = self.services.entry(service.clone()).or_default();
         sends.first.push_back(now);
-        drop_old(&mut sends.first, now, rule.window);
+        drop_expired(&mut sends.first, now, rule.window);
     }
 
-    /// Takes one send beyond the first, if the budget allows it. `entries` is
-    /// the number of entries that share the reserve.
+    /// Takes one retry from the budget. Returns whether the budget allows it.
+    /// `entries` is the number of entries that share the reserve.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -61,19 +63,19 @@
         entries: usize,
     ) -> bool {
         let sends = self.services.entry(service.clone()).or_default();
-        drop_old(&mut sends.first, now, rule.window);
-        drop_old(&mut sends.again, now, rule.window);
+        drop_expired(&mut sends.first, now, rule.window);
+        drop_expired(&mut sends.retries, now, rule.window);
         let reserve = rule.reserve / entries.max(1) as f64;
         let allowed = (rule.ratio * sends.first.len() as f64 + reserve) * USED_SHARE;
-        if (sends.again.len() + 1) as f64 > allowed {
+        if (sends.retries.len() + 1) as f64 > allowed {
             return false;
         }
-        sends.again.push_back(now);
+        sends.retries.push_back(now);
         true
     }
 }
 
-fn drop_old(times: &mut VecDeque<Timestamp>, now: Timestamp, window: Duration) {
+fn drop_expired(times: &mut VecDeque<Timestamp>, now: Timestamp, window: Duration) {
     while times.front().is_some_and(|at| now.since(*at) > window) {
         times.pop_front();
     }
--- a/lib/src/gateway/server_labels.rs
+++ b/lib/src/gateway/server_labels.rs
@@ -1,4 +1,4 @@
-//! Labels of metrics that are counted by backend server.
+//! Labels of the metrics that are counted for each backend server.
 
 use std::collections::BTreeSet;
 
@@ -6,16 +6,16 @@
 
 use crate::gateway::backend_record::BackendId;
 
-/// The most backend servers that have counters of their own. Those of lives that
-/// have ended stay on the metrics page, so further ones share one label.
+/// The most backend servers that have a label of their own. The counters of ended
+/// servers stay on the metrics page, so further servers share one label.
 const MAX_LABELS: usize = 256;
 /// The label that further backend servers share.
 const SHARED_LABEL: &str = "others";
 
-/// What the gauge of a server shows whose limit is over: 0 is a limit too.
+/// The gauge value of a server without a limit. It is negative because 0 is a limit.
 pub const NO_LIMIT: f64 = -1.0;
 
-/// The backend servers that have counters of their own.
+/// The backend servers that have a label of their own.
 #[derive(Debug, Default)]
 pub struct ServerLabels {
     names: Mutex<BTreeSet<String>>,
--- a/lib/src/gateway/stall_detector.rs
+++ b/lib/src/gateway/stall_detector.rs
@@ -1,8 +1,9 @@
-//! Notices when a stream falls silent.
+//! Detects that a stream has stalled.
 //!
-//! Pure. A replica whose VM is gone without a word, or a connection that lost
-//! its way, sends nothing any more and closes nothing. Callers leave a stream
-//! after a while, so one that can go on elsewhere has to do so before.
+//! Pure logic: no I/O and no clock. A replica whose VM vanished, or a connection whose
+//! route is broken, sends nothing more and closes nothing. Callers abandon a stalled
+//! stream after a while, so a stream that can resume at another backend server has to
+//! do so before.
 
 use std::time::Duration;
 
@@ -10,69 +11,72 @@
 
 use crate::gateway::site_config::RouteRule;
 
-/// How many times the longest pause that is in time, or that was seen in this
-/// stream, a pause may last. Replicas that read a long prompt beside it pause
-/// up to about the first; going on elsewhere means reading the prompt again.
-const PAUSE_TIMES: u32 = 2;
+/// The pause after which a stream counts as stalled, as a multiple of its longest usual
+/// pause: the target of its route, or the longest pause seen in this stream. A replica
+/// that prefills a long prompt pauses its streams up to about the target, and resuming a
+/// stream elsewhere costs another prefill.
+const STALL_FACTOR: u32 = 2;
 
 /// The pauses of one stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
-    watches: bool,
-    is_stopped: bool,
+    is_enabled: bool,
+    is_disarmed: bool,
     has_begun: bool,
-    least: Duration,
+    target_pause: Duration,
     target_latency: Duration,
-    longest: Duration,
-    last_at: Instant,
+    longest_pause: Duration,
+    last_bytes_at: Instant,
 }
 
 impl StallDetector {
-    /// Returns the watch of a stream whose head came at `now`. Only streams
-    /// that may go on elsewhere are watched.
+    /// Returns the detector of a stream whose head arrived at `now`. It detects stalls
+    /// only of streams that may resume at another backend server.
     pub fn new(now: Instant, route: &RouteRule) -> Self {
         Self {
-            watches: route.may_repeat(),
-            is_stopped: false,
+            is_enabled: route.may_repeat(),
+            is_disarmed: false,
             has_begun: false,
-            least: route.target_pause,
+            target_pause: route.target_pause,
             target_latency: route.target_latency,
-            longest: Duration::ZERO,
-            last_at: now,
+            longest_pause: Duration::ZERO,
+            last_bytes_at: now,
         }
     }
 
-    /// Notes that the stream goes on at another backend server from `now`.
+    /// Notes that the stream resumes at another backend server at `now`.
     pub fn note_resumed(&mut self, now: Instant) {
         self.has_begun = false;
-        self.is_stopped = false;
-        self.last_at = now;
+        self.is_disarmed = false;
+        self.last_bytes_at = now;
     }
 
-    /// Notes that bytes came.
+    /// Notes that bytes arrived.
     pub fn note_bytes(&mut self, now: Instant) {
         if self.has_begun {
-            self.longest = self.longest.max(now.duration_since(self.last_at));
+            self.longest_pause = self
+                .longest_pause
+                .max(now.duration_since(self.last_bytes_at));
         }
         self.has_begun = true;
-        self.is_stopped = false;
-        self.last_at = now;
+        self.is_disarmed = false;
+        self.last_bytes_at = now;
     }
 
-    /// Watches no more until bytes come.
+    /// Detects no stall until bytes arrive again.
     pub fn disarm(&mut self) {
-        self.is_stopped = true;
+        self.is_disarmed = true;
     }
 
-    /// Returns when the stream counts as silent if nothing comes before.
+    /// Returns when the stream counts as stalled if no bytes arrive before.
     pub fn stalled_at(&self) -> Option<Instant> {
-        if !self.watches || self.is_stopped {
+        if !self.is_enabled || self.is_disarmed {
             return None;
         }
-        let usual = match self.has_begun {
-            true => self.least.max(self.longest),
-            false => self.least.max(self.target_latency),
+        let usual_pause = match self.has_begun {
+            true => self.target_pause.max(self.longest_pause),
+            false => self.target_pause.max(self.target_latency),
         };
-        Some(self.last_at + usual * PAUSE_TIMES)
+        Some(self.last_bytes_at + usual_pause * STALL_FACTOR)
     }
 }
--- a/lib/src/gateway/work_meter.rs
+++ b/lib/src/gateway/work_meter.rs
@@ -1,8 +1,9 @@
-//! How much work callers bring to this entry for each service, averaged over
-//! seconds. A request counts once, however often it is sent, and also if it is
-//! refused for lack of room: what runs is bounded by the replicas that are there.
+//! Measures the work that callers offer to this entry for each service, averaged over
+//! seconds.
 //!
-//! Pure.
+//! Pure logic: no I/O and no clock. A request counts once, however often it is sent,
+//! and also if it is refused because the replicas are full: the work that runs is
+//! bounded by the replicas and does not show how many are needed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,58 +11,61 @@
 use crate::id::ServiceName;
 use crate::quantity::Timestamp;
 
-/// The time over which work is averaged: long enough to even out single long
-/// prompts, short enough to follow a rise within the start of a replica.
+/// The time constant of the average: long enough to even out single long prompts,
+/// short enough to follow a rise while a replica starts.
 const AVERAGE_TIME: Duration = Duration::from_secs(4);
 
-/// The work that comes for one service.
+/// The work offered for one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OfferedWork {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Prompt tokens a second that have to be read for them.
+    /// Their prompt tokens that need prefill, per second.
     pub tokens_per_s: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct WorkRate {
     work: OfferedWork,
-    at: Timestamp,
+    updated_at: Timestamp,
 }
 
 impl WorkRate {
     fn decayed(self, now: Timestamp) -> OfferedWork {
-        let passed = now.since(self.at).as_secs_f64();
-        let kept = (-passed / AVERAGE_TIME.as_secs_f64()).exp();
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        let factor = (-elapsed / AVERAGE_TIME.as_secs_f64()).exp();
         OfferedWork {
-            requests_per_s: self.work.requests_per_s * kept,
-            tokens_per_s: self.work.tokens_per_s * kept,
+            requests_per_s: self.work.requests_per_s * factor,
+            tokens_per_s: self.work.tokens_per_s * factor,
         }
     }
 }
 
-/// The work of all services.
+/// The work offered for all services.
 #[derive(Clone, Debug, Default)]
 pub struct WorkMeter {
     rates: BTreeMap<ServiceName, WorkRate>,
 }
 
 impl WorkMeter {
-    /// Returns a meter that has seen no work.
+    /// Returns a meter that has counted no work.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a request for which a backend server has to read prompt tokens.
+    /// Counts a request, and its prompt tokens that need prefill.
     pub fn note(&mut self, now: Timestamp, service: &ServiceName, tokens: u64) {
         let rate = self.rates.entry(service.clone()).or_default();
         let mut work = rate.decayed(now);
         work.requests_per_s += 1.0 / AVERAGE_TIME.as_secs_f64();
         work.tokens_per_s += tokens as f64 / AVERAGE_TIME.as_secs_f64();
-        *rate = WorkRate { work, at: now };
+        *rate = WorkRate {
+            work,
+            updated_at: now,
+        };
     }
 
-    /// Returns the work of each service.
+    /// Returns the work offered for each service.
     pub fn rates(&self, now: Timestamp) -> impl Iterator<Item = (&ServiceName, OfferedWork)> {
         let decayed = move |(service, rate): (_, &WorkRate)| (service, rate.decayed(now));
         self.rates.iter().map(decayed)
--- a/lib/tests/test_gateway_duties.rs
+++ b/lib/tests/test_gateway_duties.rs
@@ -1,4 +1,4 @@
-//! The lease by log order, decided usage, and the plan of replicas.
+//! The lease by the order of the log, the usage decisions, and the plan of replicas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const LEASE: Duration = Duration::from_secs(3);
+const LEASE_TERM: Duration = Duration::from_secs(3);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -44,8 +44,8 @@
 
 fn entry(number: u64) -> LeaseState {
     let name = format!("entry-{number}").parse().unwrap();
-    let terms = LeaseTimings::with_cooldown(LEASE);
-    LeaseState::new(at(0), name, Incarnation(number), terms, false)
+    let timings = LeaseTimings::with_cooldown(LEASE_TERM);
+    LeaseState::new(at(0), name, Incarnation(number), timings, false)
 }
 
 fn read(lease: &mut LeaseState, offset: u64, record: DutyRecord) {
@@ -54,22 +54,22 @@
 }
 
 #[test]
-fn the_last_claim_holds() {
+fn the_last_claim_holds_the_lease() {
     let mut lease = entry(1);
     read(&mut lease, 4, claim(1));
     assert!(lease.is_holder());
     read(&mut lease, 5, claim(2));
     assert!(!lease.is_holder());
-    // A record that was read already changes nothing.
+    // A record that was already read changes nothing.
     read(&mut lease, 4, claim(1));
     assert!(!lease.is_holder());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever holders append in whatever order, and wherever entries begin
-    /// to read, those that read a decision know the same one, and at most one
-    /// entry that has read everything holds the lease.
+    /// Holders append any records in any order, and entries begin to read at any offset.
+    /// All entries that read a decision know the same one, and at most one entry that has
+    /// read all records holds the lease.
     #[test]
     fn entries_agree_on_holder_and_decisions(
         records in prop::collection::vec((0_u64..3, 0_u64..4, 0_u64..9), 1..40),
@@ -120,29 +120,29 @@
     }
 }
 
-fn supply(reclaimable: [u32; 4], fixed: [u32; 4]) -> ZoneSupply {
+fn supply(reclaimable: [u32; 4], on_demand: [u32; 4]) -> ZoneSupply {
     let zones = ["a", "b", "c", "d"]
         .iter()
-        .zip(reclaimable.iter().zip(fixed));
+        .zip(reclaimable.iter().zip(on_demand));
     zones
-        .map(|(zone, (reclaimable, fixed))| {
+        .map(|(zone, (reclaimable, on_demand))| {
             let supply = ReplicaSupply {
                 reclaimable: *reclaimable,
-                fixed,
+                on_demand,
             };
             (zone.parse().unwrap(), supply)
         })
         .collect()
 }
 
-/// Plans and shows the orders as `zone: reclaimable + fixed`.
-fn plan(planner: &mut ReplicaPlanner, now: u64, demand: f64, there: &ZoneSupply) -> String {
+/// Plans, and shows the orders as `zone: reclaimable + on-demand`.
+fn plan(planner: &mut ReplicaPlanner, now: u64, demand: f64, present: &ZoneSupply) -> String {
     let demand = ReplicaDemand {
         slots: 0.0,
-        reading: demand,
+        prefill: demand,
     };
     let service = "pool".parse().unwrap();
-    let orders = planner.plan(at(now), &service, &scale_rule(), demand, there);
+    let orders = planner.plan(at(now), &service, &scale_rule(), demand, present);
     let mut zones: BTreeMap<String, [u32; 2]> = BTreeMap::new();
     for order in orders {
         let counts = zones.entry(order.zone.to_string()).or_default();
@@ -156,75 +156,75 @@
 }
 
 #[test]
-fn replicas_move_to_reclaimable_vms_and_back_while_these_are_away() {
+fn on_demand_replicas_replace_reclaimable_ones_while_these_are_unavailable() {
     let start = supply([0; 4], [3, 2, 2, 2]);
     let mut planner = ReplicaPlanner::new(&scale_rule(), &start, true);
     let mut steps = vec![plan(&mut planner, 0, 0.0, &start)];
-    let there = supply([2; 4], [0, 2, 0, 2]);
-    steps.push(plan(&mut planner, 5_000, 0.6, &there));
-    steps.push(plan(&mut planner, 11_000, 0.6, &there));
-    // A zone is reclaimed: the fullest of the others may be next.
-    let there = supply([2, 0, 2, 2], [0, 1, 0, 0]);
-    steps.push(plan(&mut planner, 12_000, 0.6, &there));
-    let there = supply([0; 4], [0, 3, 0, 2]);
-    steps.push(plan(&mut planner, 14_000, 0.6, &there));
-    // They are back; the others are kept for a while.
-    let there = supply([2; 4], [0, 3, 0, 2]);
-    steps.push(plan(&mut planner, 30_000, 0.6, &there));
-    steps.push(plan(&mut planner, 36_000, 0.6, &there));
+    let present = supply([2; 4], [0, 2, 0, 2]);
+    steps.push(plan(&mut planner, 5_000, 0.6, &present));
+    steps.push(plan(&mut planner, 11_000, 0.6, &present));
+    // A zone is reclaimed, and the zone with the most replicas may be the next one.
+    let present = supply([2, 0, 2, 2], [0, 1, 0, 0]);
+    steps.push(plan(&mut planner, 12_000, 0.6, &present));
+    let present = supply([0; 4], [0, 3, 0, 2]);
+    steps.push(plan(&mut planner, 14_000, 0.6, &present));
+    // The reclaimable replicas are back, and the on-demand ones are kept for a while.
+    let present = supply([2; 4], [0, 3, 0, 2]);
+    steps.push(plan(&mut planner, 30_000, 0.6, &present));
+    steps.push(plan(&mut planner, 36_000, 0.6, &present));
     insta::assert_snapshot!(steps.join("\n"));
 }
 
 #[test]
-fn what_cannot_be_had_pushes_out_nothing_that_serves() {
+fn unavailable_reclaimable_replicas_do_not_displace_on_demand_ones() {
     let start = supply([0; 4], [0, 4, 0, 4]);
     let mut planner = ReplicaPlanner::new(&scale_rule(), &start, true);
     let shown = plan(&mut planner, 1_000, 12.0, &start);
-    assert!(fixed_in(&shown) >= 8, "{shown}");
+    assert!(on_demand_in(&shown) >= 8, "{shown}");
 }
 
-/// Sums the replicas that are not reclaimable in what [`plan`] shows.
-fn fixed_in(shown: &str) -> u32 {
+/// Sums the on-demand replicas in the text that [`plan`] returns.
+fn on_demand_in(shown: &str) -> u32 {
     let zones = shown.split(", ");
     let counts = zones.map(|zone| zone.rsplit(' ').next().unwrap().parse::<u32>().unwrap());
     counts.sum()
 }
 
 #[test]
-fn a_short_rise_of_demand_orders_few_fixed_replicas() {
-    let there = supply([4; 4], [0; 4]);
-    let mut planner = ReplicaPlanner::new(&scale_rule(), &there, false);
+fn a_short_rise_of_demand_orders_few_on_demand_replicas() {
+    let present = supply([4; 4], [0; 4]);
+    let mut planner = ReplicaPlanner::new(&scale_rule(), &present, false);
     for second in 0..10 {
-        plan(&mut planner, second * 1_000, 3.0, &there);
+        plan(&mut planner, second * 1_000, 3.0, &present);
     }
-    // Twice what all replicas carry, for two seconds.
+    // For two seconds the demand is twice what all replicas can serve.
     for second in 10..12 {
-        let shown = plan(&mut planner, second * 1_000, 20.0, &there);
-        assert!(fixed_in(&shown) <= 4, "{shown}");
+        let shown = plan(&mut planner, second * 1_000, 20.0, &present);
+        assert!(on_demand_in(&shown) <= 4, "{shown}");
     }
 }
 
 #[rstest]
 #[case::within_a_start(1_000)]
 #[case::far_apart(6_000)]
-fn after_two_losses_in_a_row_others_start_before_a_third(#[case] apart: u64) {
-    let there = supply([3; 4], [0; 4]);
-    let mut planner = ReplicaPlanner::new(&scale_rule(), &there, false);
+fn two_losses_in_a_row_order_on_demand_replicas_before_a_third(#[case] apart: u64) {
+    let present = supply([3; 4], [0; 4]);
+    let mut planner = ReplicaPlanner::new(&scale_rule(), &present, false);
     for second in 0..10 {
-        let shown = plan(&mut planner, second * 1_000, 2.0, &there);
-        assert_eq!(fixed_in(&shown), 0, "{shown}");
+        let shown = plan(&mut planner, second * 1_000, 2.0, &present);
+        assert_eq!(on_demand_in(&shown), 0, "{shown}");
     }
-    let there = supply([0, 3, 3, 3], [0; 4]);
-    let first = plan(&mut planner, 10_000, 2.0, &there);
-    let there = supply([0, 0, 3, 3], [0; 4]);
-    let second = plan(&mut planner, 10_000 + apart, 2.0, &there);
+    let present = supply([0, 3, 3, 3], [0; 4]);
+    let first = plan(&mut planner, 10_000, 2.0, &present);
+    let present = supply([0, 0, 3, 3], [0; 4]);
+    let second = plan(&mut planner, 10_000 + apart, 2.0, &present);
     insta::assert_snapshot!(
         format!("losses_{apart}_ms_apart"),
         format!("{first}\n{second}")
     );
 }
 
-/// Sums the reclaimable replicas in what [`plan`] shows.
+/// Sums the reclaimable replicas in the text that [`plan`] returns.
 fn reclaimable_in(shown: &str) -> u32 {
     let zones = shown.split(", ");
     let counts = zones.map(|zone| zone.split(' ').nth(1).unwrap().parse::<u32>().unwrap());
@@ -232,51 +232,54 @@
 }
 
 #[test]
-fn crashes_of_single_replicas_are_no_wave_of_losses() {
-    let there = supply([5; 4], [0; 4]);
-    let mut planner = ReplicaPlanner::new(&scale_rule(), &there, false);
+fn crashes_of_single_replicas_do_not_count_as_losses() {
+    let present = supply([5; 4], [0; 4]);
+    let mut planner = ReplicaPlanner::new(&scale_rule(), &present, false);
     for second in 0..20 {
-        plan(&mut planner, second * 1_000, 7.8, &there);
+        plan(&mut planner, second * 1_000, 7.8, &present);
     }
-    let there = supply([4; 4], [0; 4]);
-    let shown = plan(&mut planner, 20_000, 7.8, &there);
-    assert_eq!(fixed_in(&shown), 0, "{shown}");
+    let present = supply([4; 4], [0; 4]);
+    let shown = plan(&mut planner, 20_000, 7.8, &present);
+    assert_eq!(on_demand_in(&shown), 0, "{shown}");
 }
 
 #[test]
-fn a_new_holder_shrinks_only_after_it_has_watched() {
-    let there = supply([6; 4], [0; 4]);
-    let mut planner = ReplicaPlanner::new(&scale_rule(), &there, false);
-    let begun = plan(&mut planner, 0, 0.6, &there);
-    assert_eq!(reclaimable_in(&begun), 24, "{begun}");
-    let watched = plan(&mut planner, 16_000, 0.6, &there);
-    assert!(reclaimable_in(&watched) < 24, "{watched}");
+fn a_new_holder_scales_down_only_after_the_delay() {
+    let present = supply([6; 4], [0; 4]);
+    let mut planner = ReplicaPlanner::new(&scale_rule(), &present, false);
+    let first = plan(&mut planner, 0, 0.6, &present);
+    assert_eq!(reclaimable_in(&first), 24, "{first}");
+    let later = plan(&mut planner, 16_000, 0.6, &present);
+    assert!(reclaimable_in(&later) < 24, "{later}");
 }
 
-/// An entry that plans along before it holds the lease knows of losses that
-/// one which begins to plan as the holder has not seen.
+/// An entry that planned as a standby before it holds the lease knows of earlier losses. An
+/// entry that starts to plan as the holder does not.
 #[test]
-fn a_holder_that_planned_along_is_ready_for_the_next_loss() {
-    let there = supply([4; 4], [0; 4]);
-    let mut standing_by = ReplicaPlanner::new(&scale_rule(), &there, false);
+fn a_holder_that_planned_as_standby_is_ready_for_the_next_loss() {
+    let present = supply([4; 4], [0; 4]);
+    let mut standby = ReplicaPlanner::new(&scale_rule(), &present, false);
     for second in 0..20 {
-        plan(&mut standing_by, second * 1_000, 2.0, &there);
+        plan(&mut standby, second * 1_000, 2.0, &present);
     }
-    let there = supply([0, 4, 4, 4], [0; 4]);
-    plan(&mut standing_by, 20_000, 2.0, &there);
-    let there = supply([0, 0, 4, 4], [0; 4]);
-    plan(&mut standing_by, 22_000, 2.0, &there);
-    // The holder changes here; the next zone goes with the fixed ones still
-    // to come.
-    let mut begun_now = ReplicaPlanner::new(&scale_rule(), &there, false);
-    let along = plan(&mut standing_by, 23_000, 2.0, &there);
-    let anew = plan(&mut begun_now, 23_000, 2.0, &there);
-    assert!(fixed_in(&along) > fixed_in(&anew), "{along}; {anew}");
+    let present = supply([0, 4, 4, 4], [0; 4]);
+    plan(&mut standby, 20_000, 2.0, &present);
+    let present = supply([0, 0, 4, 4], [0; 4]);
+    plan(&mut standby, 22_000, 2.0, &present);
+    // The lease holder changes here. The next zone may be lost while the ordered
+    // on-demand replicas still start.
+    let mut new_planner = ReplicaPlanner::new(&scale_rule(), &present, false);
+    let by_standby = plan(&mut standby, 23_000, 2.0, &present);
+    let by_new = plan(&mut new_planner, 23_000, 2.0, &present);
+    assert!(
+        on_demand_in(&by_standby) > on_demand_in(&by_new),
+        "{by_standby}; {by_new}"
+    );
 }
 
 #[test]
-fn a_new_holder_goes_on_with_what_is_there() {
-    let there = supply([3; 4], [0, 1, 0, 0]);
-    let mut planner = ReplicaPlanner::new(&scale_rule(), &there, false);
-    insta::assert_snapshot!(plan(&mut planner, 0, 0.0, &there));
+fn a_new_holder_starts_from_the_present_replicas() {
+    let present = supply([3; 4], [0, 1, 0, 0]);
+    let mut planner = ReplicaPlanner::new(&scale_rule(), &present, false);
+    insta::assert_snapshot!(plan(&mut planner, 0, 0.0, &present));
 }
--- a/lib/tests/test_shedding.rs
+++ b/lib/tests/test_shedding.rs
@@ -1,5 +1,5 @@
-//! The load pattern of full replicas: what they serve is asked for once to twice
-//! and hundreds of entries know the queue as it was a quarter of a second ago.
+//! The load pattern of full replicas. The load is up to twice the capacity, and hundreds of
+//! entries know the queue as it was 250 ms ago.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,60 +11,60 @@
 use rand::rngs::StdRng;
 use rstest::rstest;
 
-/// A kind of request as callers send it.
+/// A kind of request that callers send.
 #[derive(Clone, Copy)]
 struct CallKind {
     urgency: u8,
     target_ms: u64,
-    /// Requests in a hundred.
-    share: u32,
+    /// The share of this kind in all requests, in percent.
+    percent: u32,
 }
 
 const KINDS: [CallKind; 3] = [
     CallKind {
         urgency: 0,
         target_ms: 600,
-        share: 41,
+        percent: 41,
     },
     CallKind {
         urgency: 1,
         target_ms: 1_200,
-        share: 18,
+        percent: 18,
     },
     CallKind {
         urgency: 2,
         target_ms: 800,
-        share: 41,
+        percent: 41,
     },
 ];
 
-/// How a request of a kind takes a slot, in milliseconds.
-const HOLD_MS: u64 = 900;
+/// How long a request occupies a slot, in milliseconds.
+const SLOT_TIME_MS: u64 = 900;
 
-/// Replicas with 264 slots in all, asked for by `load` times what they serve.
-/// Entries know the queue as it was a quarter of a second ago. Returns by kind
-/// how many of a hundred are in time, late and turned away.
-fn play_queue(load: f64, sheds: bool, seed: u64) -> [[u32; 3]; 3] {
+/// Simulates replicas with 264 slots in total at `load` times their capacity. Entries know
+/// the queue as it was 250 ms ago. Returns for each kind the percentages of requests in
+/// time, late and shed.
+fn simulate_queue(load: f64, sheds: bool, seed: u64) -> [[u32; 3]; 3] {
     const SLOTS: usize = 264;
     let mut rng = StdRng::seed_from_u64(seed);
-    let per_ms = load * SLOTS as f64 / HOLD_MS as f64;
+    let per_ms = load * SLOTS as f64 / SLOT_TIME_MS as f64;
     let mut free_at = vec![0_u64; SLOTS];
-    let mut waits_told = VecDeque::from(vec![0_u64; 250]);
+    let mut reported_waits = VecDeque::from(vec![0_u64; 250]);
     let mut counts = [[0_u32; 3]; 3];
-    let mut owed = 0.0;
+    let mut arrivals = 0.0;
     for now in 0..12_000_u64 {
         let soonest = *free_at.iter().min().unwrap();
-        waits_told.push_back(soonest.saturating_sub(now));
-        let told = waits_told.pop_front().unwrap();
-        owed += per_ms;
-        while owed >= 1.0 {
-            owed -= 1.0;
+        reported_waits.push_back(soonest.saturating_sub(now));
+        let reported_wait = reported_waits.pop_front().unwrap();
+        arrivals += per_ms;
+        while arrivals >= 1.0 {
+            arrivals -= 1.0;
             let kind = pick_kind(&mut rng);
-            let target = Duration::from_millis(KINDS[kind].target_ms);
+            let target_latency = Duration::from_millis(KINDS[kind].target_ms);
             let query = SheddingQuery {
-                expected_latency: Duration::from_millis(told + 60),
-                slot_wait: Duration::from_millis(told),
-                target_latency: target,
+                expected_latency: Duration::from_millis(reported_wait + 60),
+                slot_wait: Duration::from_millis(reported_wait),
+                target_latency,
                 shortest_target: Duration::from_millis(KINDS[0].target_ms),
                 urgency: KINDS[kind].urgency,
                 draw: rng.random(),
@@ -74,9 +74,9 @@
                 continue;
             }
             let slot = free_at.iter_mut().min().unwrap();
-            let begun = (*slot).max(now);
-            *slot = begun + HOLD_MS;
-            let is_late = begun + 60 - now > KINDS[kind].target_ms;
+            let started_at = (*slot).max(now);
+            *slot = started_at + SLOT_TIME_MS;
+            let is_late = started_at + 60 - now > KINDS[kind].target_ms;
             counts[kind][usize::from(is_late)] += 1;
         }
     }
@@ -89,29 +89,29 @@
 fn pick_kind(rng: &mut StdRng) -> usize {
     let drawn = rng.random_range(0..100);
     match KINDS {
-        [first, ..] if drawn < first.share => 0,
-        [first, second, _] if drawn < first.share + second.share => 1,
+        [first, ..] if drawn < first.percent => 0,
+        [first, second, _] if drawn < first.percent + second.percent => 1,
         _ => 2,
     }
 }
 
-/// Half of the capacity is gone. Without turning any away all kinds are late
-/// together.
+/// Half of the capacity is lost. Above the capacity and without load shedding, requests of
+/// all kinds are late.
 #[rstest]
-#[case::all_that_is_needed(0.9)]
-#[case::a_little_more(1.2)]
-#[case::twice_as_much(2.0)]
-fn who_is_served_when_replicas_are_full(#[case] load: f64) {
+#[case::below_capacity(0.9)]
+#[case::above_capacity(1.2)]
+#[case::twice_the_capacity(2.0)]
+fn urgent_requests_are_served_first_when_replicas_are_full(#[case] load: f64) {
     let mut shown = String::new();
     for sheds in [false, true] {
-        let [urgent, middle, last] = play_queue(load, sheds, 1);
-        shown += &format!("turned away {sheds}: {urgent:?} {middle:?} {last:?}\n");
+        let [urgent, middle, last] = simulate_queue(load, sheds, 1);
+        shown += &format!("shedding {sheds}: {urgent:?} {middle:?} {last:?}\n");
     }
     insta::assert_snapshot!(format!("load_{}", (load * 10.0) as u32), shown);
 }
 
 #[test]
-fn a_request_for_which_a_slot_is_free_is_never_turned_away() {
+fn a_request_for_which_a_slot_is_free_is_never_shed() {
     let query = SheddingQuery {
         expected_latency: Duration::from_secs(5),
         slot_wait: Duration::ZERO,
--- a/lib/tests/test_stall_detector.rs
+++ b/lib/tests/test_stall_detector.rs
@@ -1,4 +1,4 @@
-//! When a stream counts as silent.
+//! When a stream counts as stalled.
 
 use std::time::Duration;
 
@@ -25,37 +25,37 @@
     }
 }
 
-/// Returns the milliseconds after `start` at which the stream is silent.
-fn silent_after(watch: StallDetector, start: Instant) -> Option<u128> {
-    let at = watch.stalled_at()?;
+/// Returns the milliseconds from `start` until the stream counts as stalled.
+fn stalled_after(detector: StallDetector, start: Instant) -> Option<u128> {
+    let at = detector.stalled_at()?;
     Some(at.duration_since(start).as_millis())
 }
 
 #[test]
-fn a_stream_is_silent_after_twice_its_longest_usual_pause() {
+fn a_stream_is_stalled_after_twice_its_longest_usual_pause() {
     let start = Instant::now();
     let after = |millis| start + Duration::from_millis(millis);
-    let mut watch = StallDetector::new(start, &route(true));
+    let mut detector = StallDetector::new(start, &route(true));
     // The first event may take twice the target latency.
-    assert_eq!(silent_after(watch, start), Some(1_200));
-    watch.note_bytes(after(100));
-    assert_eq!(silent_after(watch, start), Some(600));
-    // A pause of 400 ms was seen: twice that is allowed from then on.
-    watch.note_bytes(after(500));
-    watch.note_bytes(after(520));
-    assert_eq!(silent_after(watch, start), Some(520 + 800));
-    // Elsewhere it begins again.
-    watch.note_resumed(after(2_000));
-    assert_eq!(silent_after(watch, start), Some(2_000 + 1_200));
-    // Where it cannot go on elsewhere, it is left until bytes come.
-    watch.disarm();
-    assert_eq!(silent_after(watch, start), None);
-    watch.note_bytes(after(2_500));
-    assert_eq!(silent_after(watch, start), Some(2_500 + 800));
+    assert_eq!(stalled_after(detector, start), Some(1_200));
+    detector.note_bytes(after(100));
+    assert_eq!(stalled_after(detector, start), Some(600));
+    // The longest pause was 400 ms, so twice that is allowed from then on.
+    detector.note_bytes(after(500));
+    detector.note_bytes(after(520));
+    assert_eq!(stalled_after(detector, start), Some(520 + 800));
+    // At another backend server the detection begins anew.
+    detector.note_resumed(after(2_000));
+    assert_eq!(stalled_after(detector, start), Some(2_000 + 1_200));
+    // A stream that cannot resume elsewhere is not stalled until bytes arrive again.
+    detector.disarm();
+    assert_eq!(stalled_after(detector, start), None);
+    detector.note_bytes(after(2_500));
+    assert_eq!(stalled_after(detector, start), Some(2_500 + 800));
 }
 
 #[test]
-fn a_stream_that_may_not_resume_is_not_watched() {
-    let watch = StallDetector::new(Instant::now(), &route(false));
-    assert_eq!(watch.stalled_at(), None);
+fn a_stream_that_may_not_resume_is_never_stalled() {
+    let detector = StallDetector::new(Instant::now(), &route(false));
+    assert_eq!(detector.stalled_at(), None);
 }
--- a/lib/tests/test_sudden_loss.rs
+++ b/lib/tests/test_sudden_loss.rs
@@ -118,7 +118,7 @@
     let zone = |(zone, [reclaimable, fixed]): (&&str, &[u32; 2])| {
         let supply = ReplicaSupply {
             reclaimable: *reclaimable,
-            fixed: *fixed,
+            on_demand: *fixed,
         };
         (zone.parse().unwrap(), supply)
     };
@@ -131,7 +131,7 @@
 fn most_of_the_need_serves_while_zones_are_reclaimed_one_after_the_other() {
     let demand = ReplicaDemand {
         slots: 15.0,
-        reading: 9.0,
+        prefill: 9.0,
     };
     let needed = demand.replicas().ceil() as u32;
     let mut world = ReplicaWorld::new(18);
@@ -169,7 +169,7 @@
     let mut planner = ReplicaPlanner::new(&scale_rule(), &supply_of(&there(56, 10)), false);
     let demand = ReplicaDemand {
         slots: 27.0,
-        reading: 16.8,
+        prefill: 16.8,
     };
     let mut shown = Vec::new();
     // Zone d loses its replicas while a, the cheapest, has no room; then a loses
