--- a/lib/src/gateway/backend_choice.rs
+++ b/lib/src/gateway/backend_choice.rs
@@ -1,11 +1,14 @@
-//! The choice of a backend server for one request.
+//! Chooses the backend server for one request.
 //!
-//! Pure. Every candidate gets an estimated cost in milliseconds: the wait for
-//! a slot, the prompts that are read before, the own prompt as far as it is
-//! not kept there, the pauses that it causes in streams which run there, and
-//! what failures cost. Where a shared part of the prompt
-//! has not been sent yet, rendezvous hashing decides where it goes, so that
-//! entries agree on a home for every part without talking.
+//! Pure logic: no I/O and no clock. Every candidate gets an estimated cost in
+//! milliseconds. The cost adds up the wait for a slot, the prefill queued ahead of
+//! the request, the prefill of its own prompt without the blocks cached there, the
+//! delay of the streams that run beside this prefill, and the expected cost of
+//! failures.
+//!
+//! Rendezvous hashing assigns a home server to each shared prefix. The home server
+//! counts as having the prefix cached even before the prefix was sent to it, so all
+//! entries send it to the same server without coordination.
 
 use std::hash::Hasher;
 use std::time::Duration;
@@ -22,58 +25,57 @@
 use crate::id::ZoneName;
 use crate::quantity::Timestamp;
 
-/// How much the reading of a prompt weighs against the wait for those before
-/// it: everything that runs beside it and comes after it waits for it too.
-/// Measured: 4, 8 (docs/DECISIONS.md).
-const RECOMPUTE_WEIGHT: f64 = 8.0;
-/// Milliseconds by which the events of a stream may come later without being
-/// noticed: about the time in which a replica makes one. Without it short
-/// prompts leave their homes too: shared tokens that are read again rise by 32 %
-/// in place of 18 %.
-const NOTICED_DELAY: f64 = 100.0;
-/// How much a delay of all that runs at a full replica weighs, against the wait
-/// of the prompt itself. Twice as much serves callers of replicas with 12 slots
-/// better, by 0.004 ± 0.002 of a day, and the largest prompts of replicas with
-/// 32 slots worse: -0.023 ± 0.007 in place of -0.012 ± 0.008 (paired plays).
-const DELAY_WEIGHT: f64 = 6.0;
-/// Milliseconds for a certain failure; a caller's second try costs as much.
-const FAILURE_COST: f64 = 1_500.0;
-/// Milliseconds for another availability zone: two ways of a millisecond, and
-/// the price of bytes between zones.
-const ZONE_COST: f64 = 3.0;
-/// Milliseconds by which costs are blurred, less than a short prompt takes to
-/// read: entries that decide by the same old news must not all choose the same
-/// server. Whole days 0.003 ± 0.002 (24 paired plays at 23 entries).
-const STALE_SPREAD: f64 = 20.0;
-/// Milliseconds for one whose record is missing or that failed repeatedly; it
-/// is used only if there is no other.
-const DOUBT_COST: f64 = 100_000.0;
+/// Weight of the request's own prefill relative to the wait for the prefill queued
+/// ahead of it. The own prefill also delays everything that runs beside it or comes
+/// after it.
+const PREFILL_WEIGHT: f64 = 8.0;
+/// Delay of stream events that callers do not notice, in milliseconds: about the
+/// time in which a replica generates one event. Without this allowance short prompts
+/// would leave their home servers too, and recomputed shared tokens would rise by
+/// 32 % instead of 18 %.
+const UNNOTICED_DELAY_MS: f64 = 100.0;
+/// Weight of delaying all streams of a full replica, relative to the wait of the
+/// prompt itself. Twice the weight helps callers of replicas with 12 slots, but delays
+/// the largest prompts at replicas with 32 slots more.
+const STREAM_DELAY_WEIGHT: f64 = 6.0;
+/// Cost of a certain failure in milliseconds: about that of a caller's second try.
+const FAILURE_COST_MS: f64 = 1_500.0;
+/// Cost of another availability zone in milliseconds: two trips of a millisecond,
+/// and the price of traffic between zones.
+const ZONE_COST_MS: f64 = 3.0;
+/// Random spread of costs in milliseconds, below the prefill time of a short prompt.
+/// Entries that decide by the same outdated gossip must not all choose the same
+/// server.
+const COST_JITTER_MS: f64 = 20.0;
+/// Cost in milliseconds of a server that is ejected or whose record is missing. Such
+/// a server is used only if there is no other.
+const UNHEALTHY_COST_MS: f64 = 100_000.0;
 
-/// What a choice depends on beside the backend servers.
+/// The inputs of a choice besides the backend servers.
 #[derive(Clone, Debug)]
 pub struct ChoiceQuery<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The entry's own availability zone.
     pub zone: &'a ZoneName,
-    /// The parts of the prompt, the request's own part last.
+    /// The blocks of the prompt; only the last one is not shared with other requests.
     pub prompt_blocks: &'a [PromptBlock],
-    /// BackendState servers that this request has already been sent to.
+    /// The backend servers to which this request was already sent.
     pub tried: &'a [BackendId],
-    /// What servers with a limit take of this entry.
+    /// The limits of backend servers, and the permits of this entry.
     pub limits: &'a ServerLimits,
 }
 
 impl ChoiceQuery<'_> {
-    /// Returns whether a backend server takes work at all and was not tried.
+    /// Returns whether a backend server accepts requests at all and was not tried.
     fn may_use(&self, backend: &BackendState) -> bool {
         backend.accepts_requests() && !self.tried.contains(&backend.record.id)
     }
 
-    /// Returns whether a backend server takes a request of this entry now: it does
-    /// not rest, and leaves room within its limit.
-    fn is_open(&self, now: Timestamp, backend: &BackendState) -> bool {
-        backend.rest_left(now).is_none() && self.limits.may_send(now, &backend.record.id)
+    /// Returns whether this entry may send to a backend server now: no back-off is in
+    /// force, and the server's limit leaves room.
+    fn may_send(&self, now: Timestamp, backend: &BackendState) -> bool {
+        backend.back_off_left(now).is_none() && self.limits.may_send(now, &backend.record.id)
     }
 }
 
@@ -84,17 +86,17 @@
     pub id: BackendId,
     /// Its estimated cost in milliseconds.
     pub cost: f64,
-    /// Prompt tokens that it probably has to read.
+    /// Estimated prompt tokens that are not cached there and need prefill.
     pub prefill_tokens: u64,
-    /// How long it probably waits for a slot.
+    /// Estimated wait for a slot.
     pub slot_wait: Duration,
-    /// When its first event is expected after the send.
+    /// Estimated time from sending the request to its first event.
     pub first_event: Duration,
     /// The number of candidates.
     pub candidates: usize,
 }
 
-/// Chooses the backend server of least cost.
+/// Chooses the backend server with the lowest cost.
 pub fn choose_backend(
     set: &BackendSet,
     now: Timestamp,
@@ -102,38 +104,41 @@
 ) -> Option<BackendChoice> {
     let mut candidates: Vec<&BackendState> = set
         .of_service(query.service)
-        .filter(|backend| query.may_use(backend) && query.is_open(now, backend))
+        .filter(|backend| query.may_use(backend) && query.may_send(now, backend))
         .collect();
-    let home = part_home(&candidates, query);
+    let home = home_server(&candidates, query);
     let count = candidates.len();
     let times = set.times(query.service);
     candidates
         .drain(..)
         .map(|backend| {
-            let unread = unread_tokens(backend, now, query.prompt_blocks, home);
-            let cost = estimate(backend, now, query, times, unread);
-            (cost, filling(backend, now), unread, backend)
+            let prefill_tokens = estimate_prefill_tokens(backend, now, query.prompt_blocks, home);
+            let cost = estimate_cost(backend, now, query, times, prefill_tokens);
+            (cost, utilization(backend, now), prefill_tokens, backend)
         })
-        // Among equals the emptiest: replicas generate faster the fewer
-        // requests they run.
+        // Among equal costs the least utilized server wins: replicas generate faster
+        // the fewer requests they run.
         .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)))
-        .map(|(cost, _, unread, backend)| {
-            let slot_wait = slot_wait(backend, now, times.hold);
-            let before = backend.pending_tokens + backend.peer_pending_tokens;
+        .map(|(cost, _, prefill_tokens, backend)| {
+            let slot_wait = estimate_slot_wait(backend, now, times.total_time);
+            let tokens_ahead = backend.pending_tokens + backend.peer_pending_tokens;
             BackendChoice {
                 id: backend.record.id.clone(),
                 cost,
-                prefill_tokens: unread,
+                prefill_tokens,
                 slot_wait,
-                first_event: slot_wait + times.prefill_speed.first_event(before + unread),
+                first_event: slot_wait
+                    + times
+                        .prefill_speed
+                        .first_event(tokens_ahead + prefill_tokens),
                 candidates: count,
             }
         })
 }
 
-/// Returns after what time a request has a chance for which there is no server
-/// now: when the first one that rests has rested, or when all entries together may
-/// send the next request to those with a limit. None if there is no server at all.
+/// Returns the wait after which a request that no server accepts now may succeed:
+/// until the first back-off ends, or until the servers with a limit together allow
+/// the next request of any entry. Returns `None` if there is no server at all.
 pub fn time_until_available(
     set: &BackendSet,
     now: Timestamp,
@@ -141,78 +146,80 @@
 ) -> Option<Duration> {
     let usable = set.of_service(query.service);
     let usable = usable.filter(|backend| query.may_use(backend));
-    let mut rest: Option<Duration> = None;
-    let mut limits: Option<f64> = None;
+    let mut back_off: Option<Duration> = None;
+    let mut total_rate: Option<f64> = None;
     for backend in usable {
-        if let Some(left) = backend.rest_left(now) {
-            rest = Some(rest.map_or(left, |least| least.min(left)));
+        if let Some(left) = backend.back_off_left(now) {
+            back_off = Some(back_off.map_or(left, |shortest| shortest.min(left)));
         } else if let Some(limit) = query.limits.reports.limit(&backend.record.id) {
-            limits = Some(limits.unwrap_or(0.0) + limit.0);
+            total_rate = Some(total_rate.unwrap_or(0.0) + limit.0);
         }
     }
     let next_permit =
-        limits.map(|sum| Duration::try_from_secs_f64(1.0 / sum).unwrap_or(Duration::MAX));
-    rest.into_iter().chain(next_permit).min()
+        total_rate.map(|rate| Duration::try_from_secs_f64(1.0 / rate).unwrap_or(Duration::MAX));
+    back_off.into_iter().chain(next_permit).min()
 }
 
-/// Returns whether a sound backend server takes the request now.
+/// Returns whether a healthy backend server accepts the request now.
 pub fn has_healthy_backend(set: &BackendSet, now: Timestamp, query: &ChoiceQuery<'_>) -> bool {
     set.of_service(query.service).any(|backend| {
-        let sound = !backend.is_missing() && !backend.is_excluded(now);
-        sound && query.may_use(backend) && query.is_open(now, backend)
+        let healthy = !backend.is_missing() && !backend.is_ejected(now);
+        healthy && query.may_use(backend) && query.may_send(now, backend)
     })
 }
 
-/// Returns the home of a prompt among the candidates: that of its last shared
-/// part. The parts before it are shared by so many that every home has them.
-/// Servers with limits are homes only if all candidates have some: entries have
-/// permits by turns, and would have different homes.
-fn part_home<'a>(
+/// Returns the home server of a prompt among the candidates: that of its last shared
+/// block. Every home server has the blocks before it cached, since many prompts share
+/// them. Servers with a limit are home servers only if all candidates have a limit:
+/// entries get permits in turn and would disagree on the home server.
+fn home_server<'a>(
     candidates: &[&'a BackendState],
     query: &ChoiceQuery<'_>,
 ) -> Option<&'a BackendId> {
     let last_shared = query.prompt_blocks.len().checked_sub(2)?;
-    let part = query.prompt_blocks[last_shared].id;
+    let block = query.prompt_blocks[last_shared].id;
     let ids = candidates.iter().map(|backend| &backend.record.id);
-    let free = ids.clone().filter(|id| !query.limits.is_limited(id));
-    rendezvous(free, part).or_else(|| rendezvous(ids, part))
+    let unlimited = ids.clone().filter(|id| !query.limits.is_limited(id));
+    rendezvous_hash(unlimited, block).or_else(|| rendezvous_hash(ids, block))
 }
 
-fn rendezvous<'a>(
+/// Returns the candidate with the highest hash together with a prompt block.
+fn rendezvous_hash<'a>(
     candidates: impl Iterator<Item = &'a BackendId>,
-    part: u64,
+    block: u64,
 ) -> Option<&'a BackendId> {
     candidates.max_by_key(|id| {
-        let mut hasher = XxHash64::with_seed(part);
+        let mut hasher = XxHash64::with_seed(block);
         write_id(&mut hasher, id);
         hasher.finish()
     })
 }
 
-/// Estimates the tokens that a backend server has to read: a part is kept only
-/// if every part before it is.
-fn unread_tokens(
+/// Estimates the tokens that a backend server has to prefill. A block is cached only
+/// if every block before it is.
+fn estimate_prefill_tokens(
     backend: &BackendState,
     now: Timestamp,
-    parts: &[PromptBlock],
+    blocks: &[PromptBlock],
     home: Option<&BackendId>,
 ) -> u64 {
-    let total: u64 = parts.iter().map(|part| part.tokens.0).sum();
-    let shared = &parts[..parts.len().saturating_sub(1)];
+    let total: u64 = blocks.iter().map(|block| block.tokens.0).sum();
+    let shared = &blocks[..blocks.len().saturating_sub(1)];
     let is_home = home == Some(&backend.record.id);
-    let sent = |part: &&PromptBlock| backend.part_used_at(part.id).is_some_and(|at| at <= now);
-    let kept = shared.iter().take_while(|part| is_home || sent(part));
-    total - kept.map(|part| part.tokens.0).sum::<u64>()
+    let was_sent =
+        |block: &&PromptBlock| backend.block_sent_at(block.id).is_some_and(|at| at <= now);
+    let cached = shared.iter().take_while(|block| is_home || was_sent(block));
+    total - cached.map(|block| block.tokens.0).sum::<u64>()
 }
 
-/// Returns what the reading of a prompt costs those that run beside it: their
-/// events pause meanwhile. `filling` is the share of slots that they take.
-fn delay_of_streams(reading: f64, filling: f64) -> f64 {
-    (reading - NOTICED_DELAY).max(0.0) * filling * DELAY_WEIGHT
+/// Returns the cost of a prefill to the streams that run beside it, whose events are
+/// delayed meanwhile. `utilization` is the share of slots that these streams occupy.
+fn stream_delay_cost(prefill_ms: f64, utilization: f64) -> f64 {
+    (prefill_ms - UNNOTICED_DELAY_MS).max(0.0) * utilization * STREAM_DELAY_WEIGHT
 }
 
-/// Adds a life to a hash. A server that has started again keeps nothing, so its
-/// parts find homes anew.
+/// Adds an incarnation to a hash. A restarted server has an empty cache, so the
+/// blocks that it had get new home servers.
 fn write_id(hasher: &mut XxHash64, id: &BackendId) {
     hasher.write(id.name.0.as_bytes());
     if id.start.is_known() {
@@ -220,50 +227,51 @@
     }
 }
 
-/// Returns how long a request waits for a slot: they become free one after the
-/// other, within the time of a request.
-fn slot_wait(backend: &BackendState, now: Timestamp, hold: Duration) -> Duration {
+/// Estimates the wait for a slot. The slots become free one after the other within
+/// the time that a request takes.
+fn estimate_slot_wait(backend: &BackendState, now: Timestamp, total_time: Duration) -> Duration {
     let slots = backend.record.slots.max(1);
     let waiting = (backend.occupancy(now) + 1).saturating_sub(slots);
-    hold.mul_f64(f64::from(waiting) / f64::from(slots))
+    total_time.mul_f64(f64::from(waiting) / f64::from(slots))
 }
 
-/// Returns a number from 0 to 1 that differs for each request and server.
-fn draw(request: u64, id: &BackendId) -> f64 {
+/// Returns a pseudorandom number from 0 to 1 for a request and a server.
+fn random_share(request: u64, id: &BackendId) -> f64 {
     let mut hasher = XxHash64::with_seed(request);
     write_id(&mut hasher, id);
     hasher.finish() as f64 / u64::MAX as f64
 }
 
-/// Returns how full a backend server is; 1 if all its slots are taken.
-fn filling(backend: &BackendState, now: Timestamp) -> f64 {
+/// Returns the requests at a backend server relative to its slots.
+fn utilization(backend: &BackendState, now: Timestamp) -> f64 {
     f64::from(backend.occupancy(now)) / f64::from(backend.record.slots.max(1))
 }
 
-fn estimate(
+/// Estimates the cost of sending a request to a backend server, in milliseconds.
+fn estimate_cost(
     backend: &BackendState,
     now: Timestamp,
     query: &ChoiceQuery<'_>,
     times: ServiceTimes,
-    unread: u64,
+    prefill_tokens: u64,
 ) -> f64 {
-    let before = times
+    let queued_ms = times
         .prefill_speed
-        .reading_millis(backend.pending_tokens + backend.peer_pending_tokens);
-    let reading = times.prefill_speed.reading_millis(unread);
-    let own = reading * RECOMPUTE_WEIGHT;
-    let mut cost = before + own;
-    cost += delay_of_streams(reading, filling(backend, now).min(1.0));
-    cost += slot_wait(backend, now, times.hold).as_secs_f64() * 1_000.0;
-    cost += backend.failure_share * FAILURE_COST;
+        .prefill_millis(backend.pending_tokens + backend.peer_pending_tokens);
+    let prefill_ms = times.prefill_speed.prefill_millis(prefill_tokens);
+    let own_cost = prefill_ms * PREFILL_WEIGHT;
+    let mut cost = queued_ms + own_cost;
+    cost += stream_delay_cost(prefill_ms, utilization(backend, now).min(1.0));
+    cost += estimate_slot_wait(backend, now, times.total_time).as_secs_f64() * 1_000.0;
+    cost += backend.failure_share * FAILURE_COST_MS;
     if backend.record.zone != *query.zone {
-        cost += ZONE_COST;
+        cost += ZONE_COST_MS;
     }
-    if let Some(own) = query.prompt_blocks.last() {
-        cost += STALE_SPREAD * draw(own.id, &backend.record.id);
+    if let Some(own_block) = query.prompt_blocks.last() {
+        cost += COST_JITTER_MS * random_share(own_block.id, &backend.record.id);
     }
-    if backend.is_missing() || backend.is_excluded(now) {
-        cost += DOUBT_COST;
+    if backend.is_missing() || backend.is_ejected(now) {
+        cost += UNHEALTHY_COST_MS;
     }
     cost
 }
--- a/lib/src/gateway/backend_record.rs
+++ b/lib/src/gateway/backend_record.rs
@@ -1,4 +1,5 @@
-//! What a backend server tells of itself, and how requests end there.
+//! Records, identifiers and load reports of backend servers, and how requests end
+//! there.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,8 +7,8 @@
 use crate::id::ServiceName;
 use crate::id::ZoneName;
 
-/// The name under which a backend server keeps its record. One that starts
-/// again may have the name that it had.
+/// The key of a backend server's record in the store. A server may keep its name
+/// when it restarts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendName(pub String);
 
@@ -17,32 +18,32 @@
     }
 }
 
-/// When a life of a backend server began, in milliseconds since 1970 by its own
-/// clock. It is compared only with other lives under the same name, never with
-/// the clock of an entry. 0 for servers that do not tell it, which have a new
-/// name for each life.
+/// When an incarnation of a backend server started, in milliseconds since 1970 by the
+/// server's own clock. Start times are compared only with those of other incarnations
+/// under the same name, never with an entry's clock. 0 for a server that does not
+/// report it; such a server takes a new name for each incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StartTime(pub u64);
 
 impl StartTime {
-    /// Returns whether the server tells when it started.
+    /// Returns whether the server reports its start time.
     pub fn is_known(self) -> bool {
         self != Self::default()
     }
 }
 
-/// One life of a backend server. What is known of a life says nothing about the
-/// next one under the same name.
+/// An incarnation of a backend server: the time from one start to the next. State
+/// kept for an incarnation does not apply to the next one under the same name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendId {
-    /// The name, which outlives the life.
+    /// The server's name, which may stay the same over incarnations.
     pub name: BackendName,
-    /// When this life began.
+    /// When this incarnation started.
     pub start: StartTime,
 }
 
 impl BackendId {
-    /// Returns the only life of a server that does not tell when it started.
+    /// Returns the only incarnation of a server that does not report its start time.
     pub fn without_start(name: impl Into<String>) -> Self {
         Self {
             name: BackendName(name.into()),
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Returns the life of a server that began at `start`, in milliseconds since 1970
-    /// by its own clock; 0 if it does not tell.
+    /// Returns the incarnation of a server that started at `start`, in milliseconds
+    /// since 1970 by the server's own clock; 0 if the server does not report it.
     pub fn with_start(name: impl Into<String>, start: u64) -> Self {
         Self {
             name: BackendName(name.into()),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Returns whether this is a later life of the server that had `other`.
+    /// Returns whether this is a later incarnation of the same server than `other`.
     pub fn replaces(&self, other: &Self) -> bool {
         self.name == other.name && self.start > other.start
     }
@@ -75,26 +76,26 @@
     }
 }
 
-/// What a backend server tells of itself in the store.
+/// The record that a backend server keeps of itself in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BackendRecord {
-    /// This life of the server.
+    /// The server's present incarnation.
     pub id: BackendId,
-    /// The service it belongs to.
+    /// The service that the server belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: ZoneName,
-    /// Requests it works on at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// Whether it takes no new work because it is about to leave.
+    /// Whether the server accepts no new requests because it is about to stop.
     pub draining: bool,
-    /// Whether its VM may be reclaimed.
+    /// Whether the server's VM may be reclaimed.
     pub reclaimable: bool,
 }
 
-/// The load that a backend server tells with an answer.
+/// The load that a backend server reports with a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
     /// Requests that run.
@@ -105,15 +106,15 @@
     pub slots: u32,
 }
 
-/// How a request ended at a backend server, as far as it tells of the server.
+/// How a request ended at a backend server, as far as it shows the server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendOutcome {
-    /// It answered as it should.
+    /// The server responded as expected.
     Served,
-    /// It answered with a failure of its own.
+    /// The server responded with a failure of its own.
     Failed,
-    /// It could not be reached, or broke off.
+    /// The server was unreachable, or the connection broke.
     Broken,
-    /// It refused for lack of room.
+    /// The server refused the request because it was full.
     Full,
 }
--- a/lib/src/gateway/backend_set.rs
+++ b/lib/src/gateway/backend_set.rs
@@ -1,7 +1,7 @@
-//! The backend servers that are known, and what is believed of each.
+//! The backend servers that this entry knows, and the state that it keeps for each.
 //!
-//! Pure. Records come from the store; load, failures and recently sent prompt
-//! parts are learnt from the requests that this entry sends.
+//! Pure logic: no I/O and no clock. The records come from the store. Load, failures
+//! and recently sent prompt blocks come from the requests that this entry sends.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,8 +14,8 @@
 use crate::gateway::backend_record::BackendRecord;
 use crate::gateway::backend_record::LoadReport;
 use crate::gateway::backend_state::BackendState;
-use crate::gateway::draining_backends::LeavingLives;
-use crate::gateway::ended_incarnations::EndedLives;
+use crate::gateway::draining_backends::DrainingBackends;
+use crate::gateway::ended_incarnations::EndedIncarnations;
 use crate::gateway::list_history::ListChanges;
 use crate::gateway::list_history::ListHistory;
 use crate::gateway::list_history::ListUpdate;
@@ -24,51 +24,52 @@
 use crate::id::ServiceName;
 use crate::quantity::Timestamp;
 
-/// How long a record may be missing after the store came back before the
-/// backend server counts as gone: servers that live write theirs within two
-/// seconds, by the platform's description, and the list is read twice a second.
+/// How long a record may be missing after the store has recovered until the backend
+/// server counts as gone. By the platform's description, running servers write their
+/// records within two seconds, and the list is read twice a second.
 const MISSING_GRACE: Duration = Duration::from_millis(2_300);
-/// The age up to which a list counts as kept fresh by other entries.
-const KEPT_FRESH: Duration = Duration::from_millis(2_000);
-/// The first time for which a backend server is left out after failures.
-const FIRST_EXCLUSION: Duration = Duration::from_millis(500);
-/// The longest such time; a server that is back is tried within it.
-const LONGEST_EXCLUSION: Duration = Duration::from_secs(4);
-/// Failures in a row after which a backend server is left out.
-const FAILURES_TO_EXCLUDE: u32 = 2;
-/// The longest rest that is granted. One that lasts longer is asked for again by
-/// the answer that follows.
-const LONGEST_REST: Duration = Duration::from_secs(60);
-/// The weight of the newest outcome in the share of failures.
+/// The maximum age of a list that counts as kept fresh by other entries.
+const FRESH_LIST_AGE: Duration = Duration::from_millis(2_000);
+/// The duration of the first ejection after failures.
+const FIRST_EJECTION: Duration = Duration::from_millis(500);
+/// The maximum duration of an ejection. A server that has recovered is tried again
+/// within it.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// The number of consecutive failures after which a backend server is ejected.
+const FAILURES_TO_EJECT: u32 = 2;
+/// The maximum back-off. A server that needs a longer one asks for it again in its
+/// next response.
+const MAX_BACK_OFF: Duration = Duration::from_secs(60);
+/// The weight of the newest outcome in the failure share.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// What changed in the set.
+/// A change of the set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendChange {
-    /// A backend server is new, or has started again.
+    /// A backend server is new or has restarted.
     Joined(BackendRecord),
-    /// It takes no new work any more.
+    /// A backend server accepts no new requests from now on.
     Draining(BackendId),
-    /// Its record is missing; it may be back.
+    /// A backend server's record is missing, perhaps only for a while.
     Missing(BackendId),
-    /// It is gone.
+    /// A backend server is no longer listed.
     Gone(BackendId),
 }
 
-/// All backend servers that are known.
+/// The backend servers that this entry knows.
 #[derive(Clone, Debug, Default)]
 pub struct BackendSet {
     backends: BTreeMap<BackendName, BackendState>,
-    /// The last lives of servers that are no longer listed.
-    ended: EndedLives,
-    /// Lives that leave, listed or not.
-    leaving: LeavingLives,
-    /// Until when lives want no request from this entry, listed or not.
-    rests: HashMap<BackendId, Timestamp>,
+    /// The last incarnations of servers that are no longer listed.
+    ended: EndedIncarnations,
+    /// Incarnations that drain, listed or not.
+    draining: DrainingBackends,
+    /// The ends of the back-offs of incarnations, listed or not.
+    back_offs: HashMap<BackendId, Timestamp>,
     digest: u64,
     history: ListHistory,
     times: BTreeMap<ServiceName, ServiceTimes>,
-    store_back_at: Option<Timestamp>,
+    store_recovered_at: Option<Timestamp>,
     confirmed_at: Option<Timestamp>,
 }
 
@@ -83,70 +84,71 @@
         self.backends.values()
     }
 
-    /// Iterates over those of a service.
+    /// Iterates over the backend servers of a service.
     pub fn of_service<'a>(
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = &'a BackendState> {
-        let of = move |backend: &&BackendState| backend.record.service == *service;
-        self.backends.values().filter(of)
+        let matches = move |backend: &&BackendState| backend.record.service == *service;
+        self.backends.values().filter(matches)
     }
 
-    /// Finds a backend server, unless it has started again since.
+    /// Finds an incarnation of a backend server, if the server has not restarted since.
     pub fn get(&self, id: &BackendId) -> Option<&BackendState> {
         let backend = self.backends.get(&id.name)?;
         (backend.record.id == *id).then_some(backend)
     }
 
-    /// Finds what is believed of a life, to be changed. What an earlier life
-    /// did changes nothing of a later one.
+    /// Like [`Self::get`], for a change of the state. Late events of an earlier
+    /// incarnation do not change the state of the present one.
     fn get_mut(&mut self, id: &BackendId) -> Option<&mut BackendState> {
         let backend = self.backends.get_mut(&id.name)?;
         (backend.record.id == *id).then_some(backend)
     }
 
-    /// Returns how long the requests of a service take, as observed.
+    /// Returns the observed times of a service's requests.
     pub fn times(&self, service: &ServiceName) -> ServiceTimes {
         self.times.get(service).copied().unwrap_or_default()
     }
 
-    /// Notes when the first event of an answer came from a replica that had
-    /// `unread` prompt tokens to read and, as far as known, none before them.
-    pub fn note_first_event(&mut self, id: &BackendId, unread: u64, took: Duration) {
+    /// Adds the observation that the first event of a response arrived `took` after
+    /// the request was sent to a replica that had to prefill `prefill_tokens` prompt
+    /// tokens, and none of other requests as far as this entry knows.
+    pub fn note_first_event(&mut self, id: &BackendId, prefill_tokens: u64, took: Duration) {
         let Some(backend) = self.get(id) else {
             return;
         };
         let service = backend.record.service.clone();
         let times = self.times.entry(service).or_default();
-        times.prefill_speed.note(unread, took);
+        times.prefill_speed.note(prefill_tokens, took);
     }
 
-    /// Returns a digest of the list: equal lists have equal digests.
+    /// Returns the digest of the list. Equal lists have equal digests.
     pub fn list_digest(&self) -> u64 {
         self.digest
     }
 
-    /// Notes that a server is listed otherwise than before. Both are what it
-    /// adds to the digest; `None` if it is not listed.
+    /// Updates the digest and the history after a server's record has changed. `before`
+    /// and `after` are the server's digests, or `None` while it is not listed.
     fn note_listing(&mut self, name: &BackendName, before: Option<u64>, after: Option<u64>) {
         if before == after {
             return;
         }
         self.history.note(self.digest, name);
-        for part in [before, after].into_iter().flatten() {
-            self.digest ^= part;
+        for listing in [before, after].into_iter().flatten() {
+            self.digest ^= listing;
         }
     }
 
     /// Returns what a server adds to the digest of the list, if it is listed.
-    fn listing(&self, name: &BackendName) -> Option<u64> {
+    fn listing_digest(&self, name: &BackendName) -> Option<u64> {
         let backend = self.backends.get(name)?;
         Some(record_digest(&backend.record))
     }
 
-    /// Returns what an entry is told whose list has the digest `known`, if it
-    /// takes differences. A list with missing records is not passed on: they
-    /// may be back.
+    /// Returns what to send to another entry about the list. `known` is the digest of
+    /// the other entry's list if that entry accepts changes. While records are missing,
+    /// nothing is sent, because the servers may come back.
     pub fn list_update(&self, known: Option<u64>) -> ListUpdate {
         if self.has_missing() {
             return ListUpdate::Nothing;
@@ -157,8 +159,7 @@
         }
     }
 
-    /// Returns how the list differs from the one with a digest, if that is
-    /// remembered.
+    /// Returns the changes since the list had a digest, if that state is remembered.
     fn changes_since(&self, digest: u64) -> Option<ListChanges> {
         let mut changes = ListChanges::default();
         for name in self.history.changed_since(digest)? {
@@ -176,8 +177,8 @@
         backends.map(|backend| backend.record.clone()).collect()
     }
 
-    /// Notes that the list was known to be the newest at some time. A list
-    /// that still has servers without a record is nobody's proof.
+    /// Notes that the list was up to date at a time. A list with missing records is
+    /// never confirmed.
     pub fn confirm(&mut self, at: Timestamp) {
         if self.has_missing() {
             return;
@@ -185,7 +186,7 @@
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// Returns when the list was last known to be the newest.
+    /// Returns the last time at which the list was known to be up to date.
     pub fn confirmed_at(&self) -> Option<Timestamp> {
         self.confirmed_at
     }
@@ -195,20 +196,20 @@
         self.backends.values().any(BackendState::is_missing)
     }
 
-    /// Notes that the store answers this entry again. Where other entries kept
-    /// the list fresh meanwhile, the store was not away, and what is missing
-    /// is gone.
+    /// Notes that the store responds to this entry again, which starts the grace for
+    /// missing records. If other entries kept the list fresh meanwhile, the store was not
+    /// down and there is no grace: a missing record means that its server is gone.
     pub fn note_store_recovered(&mut self, now: Timestamp) {
-        let fresh = |at| now.since(at) < KEPT_FRESH;
-        if !self.confirmed_at.is_some_and(fresh) {
-            self.store_back_at = Some(now);
+        let is_fresh = |at| now.since(at) < FRESH_LIST_AGE;
+        if !self.confirmed_at.is_some_and(is_fresh) {
+            self.store_recovered_at = Some(now);
         }
     }
 
-    /// Returns how a record would be listed beside what is known; `None` if it
-    /// tells of an earlier life and changes nothing. A life that leaves does
-    /// not take work again, so a record that says otherwise is older.
-    fn merged(&self, record: &BackendRecord) -> Option<BackendRecord> {
+    /// Returns the record to list after `record` has arrived, or `None` if it is of an
+    /// earlier incarnation and changes nothing. A draining incarnation never accepts
+    /// requests again, so a record without `draining` is an older one.
+    fn merge_record(&self, record: &BackendRecord) -> Option<BackendRecord> {
         let Some(known) = self.backends.get(&record.id.name) else {
             return (!self.ended.is_replaced(&record.id)).then(|| record.clone());
         };
@@ -221,43 +222,43 @@
         Some(merged)
     }
 
-    /// Returns whether a record lacks the start that its server told before, as
-    /// only another writer's does.
+    /// Returns whether a record lacks the start time that its server reported before.
+    /// Only another writer leaves it out.
     pub fn lacks_start(&self, record: &BackendRecord) -> bool {
         let name = &record.id.name;
         let known = self.backends.get(name);
-        let told = known.is_some_and(|backend| backend.record.id.start.is_known());
-        !record.id.start.is_known() && (told || self.ended.knows(name))
+        let had_start = known.is_some_and(|backend| backend.record.id.start.is_known());
+        !record.id.start.is_known() && (had_start || self.ended.knows(name))
     }
 
-    /// Takes over a record. One of a later life ends all that was believed of
-    /// the one before; one of an earlier life, which comes late from the store
-    /// or from another entry, changes nothing but that the name is there.
+    /// Adds or updates a record. A record of a later incarnation discards the state kept
+    /// for the earlier one. A late record of an earlier incarnation changes nothing, but
+    /// the server no longer counts as missing, since the store has a record of it.
     pub fn put(&mut self, record: BackendRecord) -> Option<BackendChange> {
         let name = record.id.name.clone();
-        let before = self.listing(&name);
-        let merged = self.merged(&record);
+        let before = self.listing_digest(&name);
+        let merged = self.merge_record(&record);
         if let Some(backend) = self.backends.get_mut(&name) {
             backend.missing_since = None;
         }
         let merged = merged?;
         if merged.draining {
-            self.leaving.note(&merged.id);
+            self.draining.note(&merged.id);
         }
         let after = Some(record_digest(&merged));
         let change = match self.backends.get_mut(&name) {
             Some(backend) if backend.record.id == merged.id => {
-                let leaves = merged.draining && !backend.record.draining;
+                let starts_draining = merged.draining && !backend.record.draining;
                 let id = merged.id.clone();
                 backend.record = merged;
-                leaves.then_some(BackendChange::Draining(id))
+                starts_draining.then_some(BackendChange::Draining(id))
             }
             _ => {
                 let joined = BackendChange::Joined(merged.clone());
                 let mut backend = BackendState::new(merged);
                 let id = &backend.record.id;
-                backend.said_leaving = self.leaving.contains(id);
-                backend.rests_until = self.rests.get(id).copied().unwrap_or_default();
+                backend.reported_draining = self.draining.contains(id);
+                backend.back_off_until = self.back_offs.get(id).copied().unwrap_or_default();
                 self.backends.insert(name.clone(), backend);
                 Some(joined)
             }
@@ -266,47 +267,48 @@
         change
     }
 
-    /// Notes that a server leaves, as another entry told.
+    /// Lists a server as draining, as gossip from another entry says.
     pub fn mark_listed_draining(&mut self, id: &BackendId) -> Option<BackendChange> {
-        let before = self.listing(&id.name);
-        self.leaving.note(id);
+        let before = self.listing_digest(&id.name);
+        self.draining.note(id);
         let backend = self.get_mut(id)?;
-        let left_before = std::mem::replace(&mut backend.record.draining, true);
-        let after = self.listing(&id.name);
+        let was_draining = std::mem::replace(&mut backend.record.draining, true);
+        let after = self.listing_digest(&id.name);
         self.note_listing(&id.name, before, after);
-        (!left_before).then(|| BackendChange::Draining(id.clone()))
+        (!was_draining).then(|| BackendChange::Draining(id.clone()))
     }
 
-    /// Notes that a record is not in the store.
+    /// Notes that the store has no record of a server. The server is missing during the
+    /// grace after the store has recovered, and otherwise gone.
     pub fn note_absent(&mut self, now: Timestamp, name: &BackendName) -> Option<BackendChange> {
         let backend = self.backends.get_mut(name)?;
         let in_grace = self
-            .store_back_at
-            .is_some_and(|back| now.since(back) < MISSING_GRACE);
+            .store_recovered_at
+            .is_some_and(|recovered_at| now.since(recovered_at) < MISSING_GRACE);
         if in_grace && !backend.record.draining {
-            let first = backend.missing_since.is_none();
+            let is_new = backend.missing_since.is_none();
             backend.missing_since.get_or_insert(now);
-            return first.then(|| BackendChange::Missing(backend.record.id.clone()));
+            return is_new.then(|| BackendChange::Missing(backend.record.id.clone()));
         }
         self.remove(name)
     }
 
-    /// Notes that a record in the store cannot be used. It names no server,
-    /// also where a good one stood before, and no grace holds: the record is
-    /// there, and what it says is not that of a server.
+    /// Removes the server whose record in the store cannot be used. Even if the record
+    /// before was usable, there is no grace: a record exists, but it describes no
+    /// server.
     pub fn note_unusable(&mut self, name: &BackendName) -> Option<BackendChange> {
         self.remove(name)
     }
 
     fn remove(&mut self, name: &BackendName) -> Option<BackendChange> {
-        let before = self.listing(name);
+        let before = self.listing_digest(name);
         let id = self.backends.remove(name)?.record.id;
         self.ended.note(&id);
         self.note_listing(name, before, None);
         Some(BackendChange::Gone(id))
     }
 
-    /// Takes over a whole list; what it does not have is absent.
+    /// Replaces the list. Servers that are not in `records` are absent.
     pub fn replace(&mut self, now: Timestamp, records: Vec<BackendRecord>) -> Vec<BackendChange> {
         let listed: BTreeSet<BackendName> = records
             .iter()
@@ -324,8 +326,8 @@
         changes
     }
 
-    /// Takes over a whole list that was the newest at `known_at`, unless the
-    /// own one was confirmed later than that.
+    /// Replaces the list by one that was up to date at `known_at`, unless the own list
+    /// was confirmed at that time or later.
     pub fn replace_if_newer(
         &mut self,
         now: Timestamp,
@@ -338,10 +340,10 @@
         self.replace(now, records)
     }
 
-    /// Takes over how the list of another entry, which was the newest at
-    /// `known_at` and has the digest `target`, differs from an earlier one.
-    /// Nothing changes if the own list was confirmed later, or would not become
-    /// that list: then it was not the earlier one.
+    /// Applies changes from another entry. They lead to the list that was up to date at
+    /// `known_at` and has the digest `target`. Nothing changes if the own list was
+    /// confirmed at `known_at` or later, or if the changes do not lead from the own list
+    /// to the target.
     pub fn apply_changes(
         &mut self,
         now: Timestamp,
@@ -354,34 +356,34 @@
             return Vec::new();
         }
         let records = changes.records.into_iter();
-        let mut made: Vec<BackendChange> = records.filter_map(|r| self.put(r)).collect();
+        let mut applied: Vec<BackendChange> = records.filter_map(|r| self.put(r)).collect();
         let gone = changes.gone.iter();
-        made.extend(gone.filter_map(|name| self.note_absent(now, name)));
-        made
+        applied.extend(gone.filter_map(|name| self.note_absent(now, name)));
+        applied
     }
 
     /// Returns the digest that the list would have after changes.
     fn digest_after(&self, changes: &ListChanges) -> u64 {
         let mut digest = self.digest;
         for record in &changes.records {
-            let Some(merged) = self.merged(record) else {
+            let Some(merged) = self.merge_record(record) else {
                 continue;
             };
-            digest ^= self.listing(&record.id.name).unwrap_or(0);
+            digest ^= self.listing_digest(&record.id.name).unwrap_or(0);
             digest ^= record_digest(&merged);
         }
         for name in &changes.gone {
-            digest ^= self.listing(name).unwrap_or(0);
+            digest ^= self.listing_digest(name).unwrap_or(0);
         }
         digest
     }
 
-    /// Removes those that are still missing when the grace has passed.
+    /// Removes the servers whose records are still missing after the grace.
     pub fn expire_missing(&mut self, now: Timestamp) -> Vec<BackendChange> {
-        let over = self
-            .store_back_at
-            .is_none_or(|back| now.since(back) >= MISSING_GRACE);
-        if !over {
+        let grace_over = self
+            .store_recovered_at
+            .is_none_or(|recovered_at| now.since(recovered_at) >= MISSING_GRACE);
+        if !grace_over {
             return Vec::new();
         }
         let gone: Vec<BackendName> = self
@@ -393,75 +395,83 @@
         gone.iter().filter_map(|name| self.remove(name)).collect()
     }
 
-    /// Notes that a request goes to a backend server.
-    pub fn note_sent(&mut self, now: Timestamp, id: &BackendId, unread: u64, parts: &[u64]) {
+    /// Counts a request that is sent to a backend server, and remembers its prompt
+    /// blocks.
+    pub fn note_sent(
+        &mut self,
+        now: Timestamp,
+        id: &BackendId,
+        prefill_tokens: u64,
+        blocks: &[u64],
+    ) {
         let Some(backend) = self.get_mut(id) else {
             return;
         };
         backend.in_flight += 1;
-        backend.pending_tokens += unread;
-        for part in parts {
-            backend.note_part(now, *part);
+        backend.pending_tokens += prefill_tokens;
+        for block in blocks {
+            backend.note_block(now, *block);
         }
     }
 
-    /// Notes that a request's prompt was read.
-    pub fn note_prefilled(&mut self, id: &BackendId, unread: u64) {
+    /// Subtracts the prompt tokens of a request whose prefill is done.
+    pub fn note_prefilled(&mut self, id: &BackendId, prefill_tokens: u64) {
         if let Some(backend) = self.get_mut(id) {
-            backend.pending_tokens = backend.pending_tokens.saturating_sub(unread);
+            backend.pending_tokens = backend.pending_tokens.saturating_sub(prefill_tokens);
         }
     }
 
-    /// Notes that a request that was `held` so long is no longer there, and
-    /// whether a slot seemed free when it was sent.
-    pub fn note_left(&mut self, id: &BackendId, held: Duration, had_room: bool) {
+    /// Subtracts a request that has finished `elapsed` after it was sent.
+    /// `had_free_slot` says whether a slot seemed free at that time.
+    pub fn note_finished(&mut self, id: &BackendId, elapsed: Duration, had_free_slot: bool) {
         let Some(backend) = self.get_mut(id) else {
             return;
         };
         backend.in_flight = backend.in_flight.saturating_sub(1);
         let service = backend.record.service.clone();
         let times = self.times.entry(service).or_default();
-        times.note_left(held, had_room);
+        times.note_finished(elapsed, had_free_slot);
     }
 
-    /// Notes the load that a backend server told.
+    /// Remembers the load that a backend server reported.
     pub fn note_load(&mut self, now: Timestamp, id: &BackendId, load: LoadReport) {
         if let Some(backend) = self.get_mut(id) {
             backend.load = Some((now, load));
         }
     }
 
-    /// Notes that a server said in an answer that it leaves.
+    /// Notes that a server reported in a response that it is draining.
     pub fn note_reported_draining(&mut self, id: &BackendId) {
-        self.leaving.note(id);
+        self.draining.note(id);
         if let Some(backend) = self.get_mut(id) {
-            backend.said_leaving = true;
+            backend.reported_draining = true;
         }
     }
 
-    /// Notes that a server wants no request from this entry for a while, also if
-    /// its record lapses meanwhile.
-    pub fn note_back_off(&mut self, now: Timestamp, id: &BackendId, rest: Duration) {
-        let until = now.after(rest.min(LONGEST_REST));
-        self.rests.retain(|_, until| now < *until);
-        let known = self.rests.entry(id.clone()).or_default();
+    /// Backs off from a server for a while. The back-off stays in force if the server's
+    /// record lapses meanwhile.
+    pub fn note_back_off(&mut self, now: Timestamp, id: &BackendId, back_off: Duration) {
+        let until = now.after(back_off.min(MAX_BACK_OFF));
+        self.back_offs.retain(|_, until| now < *until);
+        let known = self.back_offs.entry(id.clone()).or_default();
         *known = until.max(*known);
         let until = *known;
         if let Some(backend) = self.get_mut(id) {
-            backend.rests_until = until;
+            backend.back_off_until = until;
         }
     }
 
-    /// Notes what other entries have at a backend server.
-    pub fn note_peer_load(&mut self, id: &BackendId, in_flight: u32, unread: u64) {
+    /// Sets the requests that other entries have in flight at a backend server, and
+    /// their pending prompt tokens.
+    pub fn note_peer_load(&mut self, id: &BackendId, in_flight: u32, pending_tokens: u64) {
         if let Some(backend) = self.get_mut(id) {
-            backend.others_in_flight = in_flight;
-            backend.peer_pending_tokens = unread;
+            backend.peer_in_flight = in_flight;
+            backend.peer_pending_tokens = pending_tokens;
         }
     }
 
-    /// Notes how a request ended. Returns the time for which the backend
-    /// server is left out, if it is from now on.
+    /// Updates a server's failure counts after a request. Returns the duration of the
+    /// ejection if the server is ejected now.
     pub fn note_outcome(
         &mut self,
         now: Timestamp,
@@ -475,15 +485,15 @@
             backend.failure_share += (newest - backend.failure_share) * FAILURE_WEIGHT;
         }
         match outcome {
-            BackendOutcome::Served => backend.failures_in_row = 0,
+            BackendOutcome::Served => backend.consecutive_failures = 0,
             BackendOutcome::Failed | BackendOutcome::Full => {}
             BackendOutcome::Broken => {
-                backend.failures_in_row += 1;
-                if backend.failures_in_row >= FAILURES_TO_EXCLUDE {
-                    let doublings = (backend.failures_in_row - FAILURES_TO_EXCLUDE).min(4);
-                    let pause = (FIRST_EXCLUSION * (1 << doublings)).min(LONGEST_EXCLUSION);
-                    backend.excluded_until = now.after(pause);
-                    return Some(pause);
+                backend.consecutive_failures += 1;
+                if backend.consecutive_failures >= FAILURES_TO_EJECT {
+                    let doublings = (backend.consecutive_failures - FAILURES_TO_EJECT).min(4);
+                    let ejection = (FIRST_EJECTION * (1 << doublings)).min(MAX_EJECTION);
+                    backend.ejected_until = now.after(ejection);
+                    return Some(ejection);
                 }
             }
         }
--- a/lib/src/gateway/backend_state.rs
+++ b/lib/src/gateway/backend_state.rs
@@ -1,6 +1,7 @@
-//! A backend server and what is believed of it.
+//! The state that this entry keeps for a backend server.
 //!
-//! Pure. Beliefs are of one life of the server, and end with it.
+//! Pure logic: no I/O and no clock. The state belongs to one incarnation of the
+//! server and ends with it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,35 +10,36 @@
 use crate::gateway::backend_record::LoadReport;
 use crate::quantity::Timestamp;
 
-/// The most prompt parts remembered for a backend server.
-const MAX_PARTS: usize = 512;
-/// How long a report of load counts; later only the own count does.
-const LOAD_LIFETIME: Duration = Duration::from_millis(1_500);
+/// The most prompt blocks remembered for a backend server.
+const MAX_BLOCKS: usize = 512;
+/// How long a load report counts. Afterwards only the counts of the entries do.
+const LOAD_REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// A backend server and what is believed of it.
+/// The state that this entry keeps for a backend server.
 #[derive(Clone, Debug)]
 pub struct BackendState {
-    /// Its newest record.
+    /// The newest record of the server.
     pub record: BackendRecord,
-    /// Requests of this entry that it has.
+    /// Requests that this entry has in flight there.
     pub in_flight: u32,
-    /// Prompt tokens of those that have not begun to answer.
+    /// Prompt tokens of those requests whose prefill is pending.
     pub pending_tokens: u64,
-    /// Requests of other entries, as they told last.
-    pub others_in_flight: u32,
-    /// Unread prompt tokens of other entries.
+    /// Requests that other entries have in flight there, by their last gossip.
+    pub peer_in_flight: u32,
+    /// Prompt tokens of those requests whose prefill is pending.
     pub peer_pending_tokens: u64,
-    /// The share of requests that failed, weighted to the newest.
+    /// The share of requests that failed, as a moving average.
     pub failure_share: f64,
     pub(super) load: Option<(Timestamp, LoadReport)>,
-    pub(super) failures_in_row: u32,
-    pub(super) excluded_until: Timestamp,
+    pub(super) consecutive_failures: u32,
+    pub(super) ejected_until: Timestamp,
     pub(super) missing_since: Option<Timestamp>,
-    /// Whether it said in an answer that it leaves.
-    pub(super) said_leaving: bool,
-    /// Until when it wants no request from this entry.
-    pub(super) rests_until: Timestamp,
-    parts: HashMap<u64, Timestamp>,
+    /// Whether the server reported in a response that it is draining.
+    pub(super) reported_draining: bool,
+    /// The end of the back-off that the server asked of this entry.
+    pub(super) back_off_until: Timestamp,
+    /// When this entry last sent each prompt block there.
+    sent_blocks: HashMap<u64, Timestamp>,
 }
 
 impl BackendState {
@@ -46,66 +48,68 @@
             record,
             in_flight: 0,
             pending_tokens: 0,
-            others_in_flight: 0,
+            peer_in_flight: 0,
             peer_pending_tokens: 0,
             failure_share: 0.0,
             load: None,
-            failures_in_row: 0,
-            excluded_until: Timestamp(0),
+            consecutive_failures: 0,
+            ejected_until: Timestamp(0),
             missing_since: None,
-            said_leaving: false,
-            rests_until: Timestamp(0),
-            parts: HashMap::new(),
+            reported_draining: false,
+            back_off_until: Timestamp(0),
+            sent_blocks: HashMap::new(),
         }
     }
 
-    /// Returns whether new work may go to it: neither its record says that it
-    /// leaves, nor an answer.
+    /// Returns whether new requests may be sent to the server: neither its record nor
+    /// a response of it says that it is draining.
     pub fn accepts_requests(&self) -> bool {
-        !self.record.draining && !self.said_leaving
+        !self.record.draining && !self.reported_draining
     }
 
-    /// Returns whether it is left out for now because of failures.
-    pub fn is_excluded(&self, now: Timestamp) -> bool {
-        now < self.excluded_until
+    /// Returns whether the server is ejected for now because of failures.
+    pub fn is_ejected(&self, now: Timestamp) -> bool {
+        now < self.ejected_until
     }
 
-    /// Returns whether its record is missing, though perhaps not for good.
+    /// Returns whether the server's record is missing, perhaps only for a while.
     pub fn is_missing(&self) -> bool {
         self.missing_since.is_some()
     }
 
-    /// Returns the requests that it probably has from all entries.
+    /// Estimates the requests that all entries together have at the server.
     pub fn occupancy(&self, now: Timestamp) -> u32 {
-        let counted = self.in_flight + self.others_in_flight;
+        let counted = self.in_flight + self.peer_in_flight;
         match self.load {
-            Some((at, load)) if now.since(at) < LOAD_LIFETIME => {
+            Some((at, load)) if now.since(at) < LOAD_REPORT_LIFETIME => {
                 counted.max(load.running + load.waiting)
             }
             _ => counted,
         }
     }
 
-    /// Returns when this entry last sent it a part.
-    pub fn part_used_at(&self, part: u64) -> Option<Timestamp> {
-        self.parts.get(&part).copied()
+    /// Returns when this entry last sent a prompt block to the server.
+    pub fn block_sent_at(&self, block: u64) -> Option<Timestamp> {
+        self.sent_blocks.get(&block).copied()
     }
 
-    /// Returns how much longer it wants no request from this entry.
-    pub fn rest_left(&self, now: Timestamp) -> Option<Duration> {
-        let left = self.rests_until.since(now);
+    /// Returns how long the server's back-off still lasts, if one is in force.
+    pub fn back_off_left(&self, now: Timestamp) -> Option<Duration> {
+        let left = self.back_off_until.since(now);
         (!left.is_zero()).then_some(left)
     }
 
-    pub(super) fn note_part(&mut self, now: Timestamp, part: u64) {
-        self.parts.insert(part, now);
-        if self.parts.len() > MAX_PARTS {
+    /// Remembers that a prompt block was sent to the server, and forgets the one sent
+    /// longest ago beyond [`MAX_BLOCKS`].
+    pub(super) fn note_block(&mut self, now: Timestamp, block: u64) {
+        self.sent_blocks.insert(block, now);
+        if self.sent_blocks.len() > MAX_BLOCKS {
             let oldest = self
-                .parts
+                .sent_blocks
                 .iter()
                 .min_by_key(|(_, at)| **at)
                 .map(|(id, _)| *id);
-            oldest.map(|id| self.parts.remove(&id));
+            oldest.map(|id| self.sent_blocks.remove(&id));
         }
     }
 }
--- a/lib/src/gateway/draining_backends.rs
+++ b/lib/src/gateway/draining_backends.rs
@@ -1,40 +1,41 @@
-//! The lives of backend servers that are known to leave.
+//! The incarnations of backend servers that are known to drain.
 //!
-//! Pure. That a server leaves is final. An older record of it may come late from
-//! the store or from another entry, also after its name was gone for a while.
+//! Pure logic: no I/O and no clock. A server that drains never accepts requests again.
+//! An older record of it may arrive late from the store or from another entry, even
+//! after the server was unlisted for a while.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
 
 use crate::gateway::backend_record::BackendId;
 
-/// How many lives are remembered: those of a few minutes in which several servers
-/// leave each second. Records that come late are some seconds old.
-const MAX_LIVES: usize = 1_024;
+/// The most incarnations remembered: those of a few minutes in which several servers
+/// drain each second. Late records are some seconds old.
+const MAX_INCARNATIONS: usize = 1_024;
 
-/// Lives that are known to leave.
+/// The incarnations that are known to drain.
 #[derive(Clone, Debug, Default)]
-pub struct LeavingLives {
-    lives: HashSet<BackendId>,
-    /// The same in the order in which they were noted.
+pub struct DrainingBackends {
+    incarnations: HashSet<BackendId>,
+    /// The same incarnations, the one noted longest ago first.
     order: VecDeque<BackendId>,
 }
 
-impl LeavingLives {
-    /// Notes that a life leaves.
+impl DrainingBackends {
+    /// Remembers that an incarnation drains.
     pub fn note(&mut self, id: &BackendId) {
-        if !self.lives.insert(id.clone()) {
+        if !self.incarnations.insert(id.clone()) {
             return;
         }
         self.order.push_back(id.clone());
-        if self.order.len() > MAX_LIVES {
+        if self.order.len() > MAX_INCARNATIONS {
             let oldest = self.order.pop_front();
-            oldest.map(|id| self.lives.remove(&id));
+            oldest.map(|id| self.incarnations.remove(&id));
         }
     }
 
-    /// Returns whether a life is known to leave.
+    /// Returns whether an incarnation is known to drain.
     pub fn contains(&self, id: &BackendId) -> bool {
-        self.lives.contains(id)
+        self.incarnations.contains(id)
     }
 }
--- a/lib/src/gateway/ended_incarnations.rs
+++ b/lib/src/gateway/ended_incarnations.rs
@@ -1,7 +1,7 @@
-//! The last lives of backend servers that are no longer listed.
+//! The last incarnations of backend servers that are no longer listed.
 //!
-//! Pure. A record of an earlier life may come late from the store or from
-//! another entry.
+//! Pure logic: no I/O and no clock. A record of an earlier incarnation may arrive
+//! late from the store or from another entry, and must not list the server again.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -10,23 +10,22 @@
 use crate::gateway::backend_record::BackendName;
 use crate::gateway::backend_record::StartTime;
 
-/// How many ended lives are remembered: those of a few minutes in which several
-/// servers end each second. Records that come late are some seconds old.
+/// The most ended incarnations remembered: those of a few minutes in which several
+/// servers end each second. Late records are some seconds old.
 const MAX_ENDED: usize = 1_024;
 
-/// The last lives of servers that are no longer listed, so that an old record
-/// which comes late does not bring an earlier one back.
+/// The last incarnation of each server that is no longer listed.
 #[derive(Clone, Debug, Default)]
-pub struct EndedLives {
+pub struct EndedIncarnations {
     starts: HashMap<BackendName, StartTime>,
-    /// The names in the order of their ends.
+    /// The names in the order in which the servers ended.
     order: VecDeque<BackendName>,
 }
 
-impl EndedLives {
-    /// Notes that a life is no longer listed.
+impl EndedIncarnations {
+    /// Remembers an incarnation that is no longer listed.
     pub fn note(&mut self, id: &BackendId) {
-        // A server that does not tell its start has no second life.
+        // A server that does not report its start time has only one incarnation.
         if !id.start.is_known() {
             return;
         }
@@ -39,13 +38,14 @@
         }
     }
 
-    /// Returns whether a life of the server is remembered.
+    /// Returns whether an incarnation of the server is remembered.
     pub fn knows(&self, name: &BackendName) -> bool {
         self.starts.contains_key(name)
     }
 
-    /// Returns whether a later life of the server has ended already. The same
-    /// life may be back: its record lapses while the store is away.
+    /// Returns whether a later incarnation of the server has already ended. An ended
+    /// incarnation itself may be listed again: its record lapses while the store is
+    /// unavailable.
     pub fn is_replaced(&self, id: &BackendId) -> bool {
         let ended = self.starts.get(&id.name);
         ended.is_some_and(|last| *last > id.start)
--- a/lib/src/gateway/incarnation_tracker.rs
+++ b/lib/src/gateway/incarnation_tracker.rs
@@ -1,9 +1,9 @@
-//! Tells requests that their backend server has started again.
+//! Cancels the requests at a backend server that has restarted.
 //!
-//! A server that crashed without a word answers nothing any more, and a
-//! connection on which only an answer is awaited shows nothing of it. The record
-//! of a later life proves that the request will never be answered: whoever waits
-//! would wait until the caller's time is over.
+//! A connection on which this entry only waits for a response shows nothing when its
+//! server crashes without closing it. The record of a later incarnation proves that
+//! the response will never come; without this module the request would wait until the
+//! caller's deadline.
 
 use std::collections::HashMap;
 
@@ -12,57 +12,59 @@
 
 use crate::gateway::backend_record::BackendId;
 
-/// The requests at one life of a server.
+/// The requests at one incarnation of a server.
 #[derive(Debug)]
-struct WatchedLife {
+struct TrackedIncarnation {
     requests: usize,
-    end: CancellationToken,
+    restart_token: CancellationToken,
 }
 
-/// The lives of backend servers that have requests of this entry.
+/// The incarnations of backend servers that have requests of this entry.
 #[derive(Debug, Default)]
 pub struct IncarnationTracker {
-    lives: Mutex<HashMap<BackendId, WatchedLife>>,
+    incarnations: Mutex<HashMap<BackendId, TrackedIncarnation>>,
 }
 
 impl IncarnationTracker {
-    /// Returns a watch of no lives.
+    /// Returns a tracker without requests.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a request goes to a life. The token is cancelled when a later
-    /// life of the server is known.
-    pub fn enter(&self, id: &BackendId) -> CancellationToken {
-        let mut lives = self.lives.lock();
-        let life = lives.entry(id.clone()).or_insert_with(|| WatchedLife {
-            requests: 0,
-            end: CancellationToken::new(),
-        });
-        life.requests += 1;
-        life.end.clone()
+    /// Counts a request that is sent to an incarnation. The returned token is
+    /// canceled when a later incarnation of the server is known.
+    pub fn track_request(&self, id: &BackendId) -> CancellationToken {
+        let mut incarnations = self.incarnations.lock();
+        let incarnation = incarnations
+            .entry(id.clone())
+            .or_insert_with(|| TrackedIncarnation {
+                requests: 0,
+                restart_token: CancellationToken::new(),
+            });
+        incarnation.requests += 1;
+        incarnation.restart_token.clone()
     }
 
-    /// Notes that a request is no longer there.
-    pub fn leave(&self, id: &BackendId) {
-        let mut lives = self.lives.lock();
-        if let Some(life) = lives.get_mut(id) {
-            life.requests -= 1;
-            if life.requests == 0 {
-                lives.remove(id);
+    /// Stops counting a request that has ended.
+    pub fn untrack_request(&self, id: &BackendId) {
+        let mut incarnations = self.incarnations.lock();
+        if let Some(incarnation) = incarnations.get_mut(id) {
+            incarnation.requests -= 1;
+            if incarnation.requests == 0 {
+                incarnations.remove(id);
             }
         }
     }
 
-    /// Ends the wait at all earlier lives of a server. Returns how many requests
-    /// were there.
+    /// Cancels the requests at all earlier incarnations of a server. Returns their
+    /// number.
     pub fn cancel_replaced(&self, id: &BackendId) -> usize {
-        let lives = self.lives.lock();
-        let earlier = lives.iter().filter(|(other, _)| id.replaces(other));
-        let ended = earlier.map(|(_, life)| {
-            life.end.cancel();
-            life.requests
+        let incarnations = self.incarnations.lock();
+        let replaced = incarnations.iter().filter(|(other, _)| id.replaces(other));
+        let canceled = replaced.map(|(_, incarnation)| {
+            incarnation.restart_token.cancel();
+            incarnation.requests
         });
-        ended.sum()
+        canceled.sum()
     }
 }
--- a/lib/src/gateway/list_history.rs
+++ b/lib/src/gateway/list_history.rs
@@ -1,9 +1,9 @@
-//! The last changes of the list of backend servers, so that an entry which knows
-//! an earlier state is told the difference and not the whole list.
+//! The last changes of the list of backend servers. An entry with an earlier state of
+//! the list gets only the changes since then instead of the full list.
 //!
-//! Pure. States are named by the digest of the list. Digests do not depend on
-//! the order of changes, so two entries that know the same servers name the
-//! same state, whoever told them.
+//! Pure logic: no I/O and no clock. The digest of a list identifies its state.
+//! Digests do not depend on the order of changes, so two entries that list the same
+//! servers have the same digest, whichever entries sent them the changes.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -15,11 +15,11 @@
 use crate::gateway::backend_record::BackendName;
 use crate::gateway::backend_record::BackendRecord;
 
-/// The changes that are remembered: those of a minute in which ten servers come
-/// or go each second. Whoever is further behind is told the whole list.
+/// The most changes remembered: those of a minute in which ten servers come or go
+/// each second. An entry further behind gets the full list.
 const MAX_CHANGES: usize = 600;
 
-/// What an entry is told that knows an earlier state of the list.
+/// The changes from an earlier state of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListChanges {
     /// The records of servers that are new or changed.
@@ -29,31 +29,31 @@
 }
 
 impl ListChanges {
-    /// Returns the number of servers that it tells of.
+    /// Returns the number of servers that changed.
     pub fn len(&self) -> usize {
         self.records.len() + self.gone.len()
     }
 
-    /// Returns whether it tells nothing.
+    /// Returns whether nothing changed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// What an entry is told of the list of backend servers.
+/// What this entry sends to another one about the list of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Nothing: the own list proves nothing.
+    /// Nothing: the own list may be incomplete.
     Nothing,
-    /// The whole list.
+    /// The full list.
     Full(Vec<BackendRecord>),
-    /// How it differs from the list that the entry has. With 200 servers of
-    /// which some come or go each second this is a hundredth of the whole.
+    /// The changes from the list that the other entry has. With 200 servers, some of
+    /// which come or go each second, they take a hundredth of the full list.
     Changes(ListChanges),
 }
 
-/// Returns what a server adds to the digest of the list: all that entries tell
-/// each other of it, so that a server which starts again under its name is told.
+/// Returns what a server adds to the digest of the list. It covers every field of the
+/// record, so that the start time of a restarted server changes the digest too.
 pub fn record_digest(record: &BackendRecord) -> u64 {
     let mut hasher = XxHash64::with_seed(0);
     record.hash(&mut hasher);
@@ -63,12 +63,12 @@
 /// The last changes of a list.
 #[derive(Clone, Debug, Default)]
 pub struct ListHistory {
-    /// The digest before each change, and the server that changed.
+    /// The digest of the list before each change, and the server that changed.
     changes: VecDeque<(u64, BackendName)>,
 }
 
 impl ListHistory {
-    /// Notes that a server of the list with the digest `before` changes.
+    /// Remembers that a server changed in the list with the digest `before`.
     pub fn note(&mut self, before: u64, name: &BackendName) {
         self.changes.push_back((before, name.clone()));
         if self.changes.len() > MAX_CHANGES {
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Returns the servers that changed since the list had a digest; none if
-    /// that is forgotten or never was.
+    /// Returns the servers that changed since the list had a digest; `None` if that
+    /// state is no longer remembered or never existed.
     pub fn changed_since(&self, digest: u64) -> Option<BTreeSet<&BackendName>> {
-        // The last time that the list was in that state counts.
+        // The list may have had this digest several times; the last one counts.
         let first = self
             .changes
             .iter()
--- a/lib/src/gateway/prefill_speed.rs
+++ b/lib/src/gateway/prefill_speed.rs
@@ -1,39 +1,41 @@
-//! How long the replicas of a service take to the first event of an answer,
-//! learnt from the answers that this entry passes on.
+//! Estimates how long the replicas of a service take to the first event of a
+//! response, from the responses that this entry relays.
 //!
-//! Pure. A straight line through the observed times, by the prompt tokens that
-//! a replica had to read: its start is what every answer takes, its slope the
-//! time of one token. Older observations fade, so that the line follows
-//! replicas that are replaced by faster or slower ones.
+//! Pure logic: no I/O and no clock. The estimate is a least-squares line through the
+//! observed times over the prompt tokens that needed prefill. Its intercept is the
+//! time that every response takes, its slope the prefill time of one token. The
+//! weights of older observations decay, so that the line follows replicas that are
+//! replaced by faster or slower ones.
 
 use std::time::Duration;
 
 use crate::quantity::TokenRate;
 
-/// What each observation leaves of the weight of all earlier ones: the last
-/// 200 count, which are some seconds of one entry's traffic.
-const KEPT_WEIGHT: f64 = 0.995;
-/// What is believed before anything was observed, in milliseconds: a step of
-/// an engine with its answer's way.
-const PRIOR_START: f64 = 30.0;
-/// The same for one token, in milliseconds: a hundred tokens a millisecond is
-/// the middle, on a scale of factors, of engines that read ten to a thousand.
-const PRIOR_TOKEN_TIME: f64 = 0.01;
-/// How many observations the prior weighs as much as. Few, so that it only
-/// stands in until a second of traffic has passed.
+/// The factor by which each observation reduces the weight of all earlier ones. About
+/// the last 200 observations count, which are some seconds of one entry's traffic.
+const WEIGHT_DECAY: f64 = 0.995;
+/// The assumed intercept before any observation, in milliseconds: one step of an
+/// engine and the way of its response.
+const PRIOR_INTERCEPT_MS: f64 = 30.0;
+/// The assumed prefill time of one token before any observation, in milliseconds. It
+/// is the geometric mean for engines that prefill 10 to 1,000 tokens in a millisecond.
+const PRIOR_TOKEN_MS: f64 = 0.01;
+/// The weight of the prior, in observations. It is low, so that the prior matters
+/// only until a second of traffic has been observed.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// The prompt tokens of the two observations that stand for the prior.
+/// The prompt tokens of the two observations that make up the prior.
 const PRIOR_TOKENS: [f64; 2] = [0.0, 4_000.0];
-/// The bounds of the time of one token, in milliseconds: a thousand and one
-/// token a millisecond. What lies beyond is a fault of the observation.
-const TOKEN_TIME_BOUNDS: [f64; 2] = [0.001, 1.0];
-/// An answer that takes longer than so many times what is expected waited for
-/// something else than its own prompt; it counts as this long.
-const LATENESS_CUT: u32 = 3;
+/// The bounds of the prefill time of one token, in milliseconds. A time beyond them
+/// results from faulty observations.
+const TOKEN_MS_BOUNDS: [f64; 2] = [0.001, 1.0];
+/// The cap of an observed time, as a multiple of the expected time. A response that
+/// takes longer waited for something else than its own prefill.
+const OUTLIER_CAP: u32 = 3;
 
-/// The times to the first event of one service's replicas.
+/// The estimated times to the first event at the replicas of one service. The fields
+/// are the weighted sums of a linear regression.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadingSpeed {
+pub struct PrefillSpeed {
     weight: f64,
     tokens: f64,
     millis: f64,
@@ -41,14 +43,14 @@
     tokens_millis: f64,
 }
 
-impl Default for ReadingSpeed {
+impl Default for PrefillSpeed {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl ReadingSpeed {
-    /// Returns the belief of an entry that has observed nothing.
+impl PrefillSpeed {
+    /// Returns the prior, which holds until there are observations.
     pub fn new() -> Self {
         let mut speed = Self {
             weight: 0.0,
@@ -58,17 +60,18 @@
             tokens_millis: 0.0,
         };
         for tokens in PRIOR_TOKENS {
-            let millis = PRIOR_START + tokens * PRIOR_TOKEN_TIME;
+            let millis = PRIOR_INTERCEPT_MS + tokens * PRIOR_TOKEN_MS;
             speed.add(tokens, millis, PRIOR_WEIGHT / PRIOR_TOKENS.len() as f64);
         }
         speed
     }
 
-    /// Notes that the first event came `took` after a send to a replica that
-    /// had `tokens` prompt tokens to read, and none of other requests.
+    /// Adds the observation that the first event arrived `took` after the request was
+    /// sent to a replica that had to prefill `tokens` prompt tokens, and none of other
+    /// requests.
     pub fn note(&mut self, tokens: u64, took: Duration) {
-        let most = self.first_event(tokens) * LATENESS_CUT;
-        let millis = took.min(most).as_secs_f64() * 1_000.0;
+        let cap = self.first_event(tokens) * OUTLIER_CAP;
+        let millis = took.min(cap).as_secs_f64() * 1_000.0;
         for sum in [
             &mut self.weight,
             &mut self.tokens,
@@ -76,27 +79,27 @@
             &mut self.tokens_squared,
             &mut self.tokens_millis,
         ] {
-            *sum *= KEPT_WEIGHT;
+            *sum *= WEIGHT_DECAY;
         }
         self.add(tokens as f64, millis, 1.0);
     }
 
-    /// Returns the prompt tokens that a replica reads in a second.
+    /// Returns the prompt tokens that a replica prefills in a second.
     pub fn token_rate(&self) -> TokenRate {
-        TokenRate(1_000.0 / self.token_time())
+        TokenRate(1_000.0 / self.millis_per_token())
     }
 
-    /// Returns how long a replica probably takes to read `tokens`, in
-    /// milliseconds, without what every answer takes.
-    pub fn reading_millis(&self, tokens: u64) -> f64 {
-        tokens as f64 * self.token_time()
+    /// Returns the expected prefill time of `tokens` prompt tokens in milliseconds,
+    /// without the intercept.
+    pub fn prefill_millis(&self, tokens: u64) -> f64 {
+        tokens as f64 * self.millis_per_token()
     }
 
-    /// Returns when the first event of an answer is expected after its send,
-    /// if `tokens` are to be read before it.
+    /// Returns the expected time from sending a request to its first event, if the
+    /// replica has to prefill `tokens` prompt tokens before.
     pub fn first_event(&self, tokens: u64) -> Duration {
-        let start = (self.millis - self.token_time() * self.tokens) / self.weight;
-        let millis = start.max(0.0) + self.reading_millis(tokens);
+        let intercept = (self.millis - self.millis_per_token() * self.tokens) / self.weight;
+        let millis = intercept.max(0.0) + self.prefill_millis(tokens);
         Duration::from_secs_f64(millis / 1_000.0)
     }
 
@@ -108,14 +111,14 @@
         self.tokens_millis += tokens * millis * weight;
     }
 
-    /// Returns the slope of the line, in milliseconds a token.
-    fn token_time(&self) -> f64 {
-        let spread = self.weight * self.tokens_squared - self.tokens * self.tokens;
-        let common = self.weight * self.tokens_millis - self.tokens * self.millis;
-        let [least, most] = TOKEN_TIME_BOUNDS;
-        if spread <= f64::EPSILON {
-            return PRIOR_TOKEN_TIME;
+    /// Returns the slope of the line: the prefill time of one token in milliseconds.
+    fn millis_per_token(&self) -> f64 {
+        let variance = self.weight * self.tokens_squared - self.tokens * self.tokens;
+        let covariance = self.weight * self.tokens_millis - self.tokens * self.millis;
+        let [min, max] = TOKEN_MS_BOUNDS;
+        if variance <= f64::EPSILON {
+            return PRIOR_TOKEN_MS;
         }
-        (common / spread).clamp(least, most)
+        (covariance / variance).clamp(min, max)
     }
 }
--- a/lib/src/gateway/send_guard.rs
+++ b/lib/src/gateway/send_guard.rs
@@ -1,4 +1,4 @@
-//! A request while a backend server has it.
+//! Accounts for a request while it is in flight at a backend server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,115 +14,118 @@
 use crate::gateway::gateway_context::GatewayContext;
 use crate::quantity::Timestamp;
 
-/// The word for a send whose connection ended without an answer.
+/// The cause reported when a connection ended before a response.
 pub const CONNECTION_LOST: &str = "lost";
-/// The word for an answer whose connection ended before it.
+/// The cause reported when a connection ended within a response.
 pub const RESPONSE_INTERRUPTED: &str = "broken_off";
-/// The word for a request whose backend server is known to have started again.
+/// The cause reported when the backend server is known to have restarted.
 pub const SERVER_RESTARTED: &str = "server_started_again";
 
 /// What is known of a request when it is sent.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// The backend server.
+    /// The backend server that the request is sent to.
     pub backend: BackendId,
-    /// Where it listens.
+    /// The address of the backend server.
     pub address: SocketAddr,
-    /// The request.
+    /// The digest of the request.
     pub digest: CallDigest,
-    /// Prompt tokens that the server has to read.
+    /// Prompt tokens of the request that the server has to prefill.
     pub prefill_tokens: u64,
-    /// Prompt tokens of others that it had to read before.
+    /// Prompt tokens of other requests whose prefill is pending there.
     pub tokens_ahead: u64,
     /// Whether a slot seemed free.
     pub had_free_slot: bool,
-    /// The moment.
+    /// When the request is sent.
     pub sent_at: Timestamp,
 }
 
-/// Counts a request at a backend server until it is dropped.
+/// Counts a request at a backend server until the guard is dropped.
 pub struct SendGuard {
     context: Arc<GatewayContext>,
-    terms: SentRequest,
-    /// When its answer began, or else when it was sent.
-    began: Timestamp,
-    is_read: bool,
-    /// Cancelled when the server is known to have started again.
+    request: SentRequest,
+    /// When the response began, or when the request was sent if there is none yet.
+    started_at: Timestamp,
+    is_prefilled: bool,
+    /// Canceled when the server is known to have restarted.
     pub restart_token: CancellationToken,
 }
 
 impl SendGuard {
     /// Begins to count a request.
-    pub fn new(context: &Arc<GatewayContext>, terms: SentRequest) -> Self {
+    pub fn new(context: &Arc<GatewayContext>, request: SentRequest) -> Self {
         Self {
-            restart_token: context.incarnations.enter(&terms.backend),
+            restart_token: context.incarnations.track_request(&request.backend),
             context: Arc::clone(context),
-            began: terms.sent_at,
-            is_read: false,
-            terms,
+            started_at: request.sent_at,
+            is_prefilled: false,
+            request,
         }
     }
 
     /// Returns the backend server.
     pub fn backend(&self) -> &BackendId {
-        &self.terms.backend
+        &self.request.backend
     }
 
-    /// Notes that the head of the answer came.
+    /// Notes that the head of the response has arrived.
     pub fn note_head(&mut self) {
-        self.began = self.context.now();
+        self.started_at = self.context.now();
     }
 
-    /// Notes that the answer was cut; `word` tells how. All answers break off
-    /// where a server crashes.
-    pub fn note_interrupted(&self, word: &str) {
+    /// Handles an interrupted response. A lost connection may be the sign of a
+    /// crash, which interrupts all responses of the server.
+    pub fn note_interrupted(&self, cause: &str) {
         let (context, backend) = (&self.context, self.backend());
-        match word {
+        match cause {
             CONNECTION_LOST | RESPONSE_INTERRUPTED => {
-                probe_for_crash(context, backend, self.terms.address, self.run());
+                probe_for_crash(context, backend, self.request.address, self.run());
             }
             SERVER_RESTARTED => record_crash(context, backend, &[self.run()]),
             _ => {}
         }
     }
 
-    /// Notes that the answer came to its end.
+    /// Notes that the response is complete.
     pub fn note_completed(&self) {
         self.context.note_first_response();
-        note_completed(&self.context, self.terms.digest);
+        note_completed(&self.context, self.request.digest);
     }
 
     fn run(&self) -> InterruptedRun {
         InterruptedRun {
-            digest: self.terms.digest,
-            started_at: self.began,
+            digest: self.request.digest,
+            started_at: self.started_at,
             interrupted_at: self.context.now(),
         }
     }
 
-    /// Notes that the first event came, so that the prompt was read.
+    /// Notes that the first event has arrived, which means that the prefill of the
+    /// prompt is done.
     pub fn note_first_event(&mut self) {
-        if std::mem::replace(&mut self.is_read, true) {
+        if std::mem::replace(&mut self.is_prefilled, true) {
             return;
         }
-        let took = self.context.now().since(self.terms.sent_at);
+        let took = self.context.now().since(self.request.sent_at);
         let mut backends = self.context.backends.lock();
-        backends.note_prefilled(&self.terms.backend, self.terms.prefill_tokens);
-        if self.terms.tokens_ahead == 0 {
-            backends.note_first_event(&self.terms.backend, self.terms.prefill_tokens, took);
+        backends.note_prefilled(&self.request.backend, self.request.prefill_tokens);
+        if self.request.tokens_ahead == 0 {
+            backends.note_first_event(&self.request.backend, self.request.prefill_tokens, took);
         }
     }
 }
 
 impl Drop for SendGuard {
     fn drop(&mut self) {
-        let held = self.context.now().since(self.terms.sent_at);
+        let elapsed = self.context.now().since(self.request.sent_at);
         let mut backends = self.context.backends.lock();
-        if !self.is_read {
-            backends.note_prefilled(&self.terms.backend, self.terms.prefill_tokens);
+        if !self.is_prefilled {
+            backends.note_prefilled(&self.request.backend, self.request.prefill_tokens);
         }
-        backends.note_left(&self.terms.backend, held, self.terms.had_free_slot);
+        backends.note_finished(&self.request.backend, elapsed, self.request.had_free_slot);
         drop(backends);
-        self.context.incarnations.leave(&self.terms.backend);
+        self.context
+            .incarnations
+            .untrack_request(&self.request.backend);
     }
 }
--- a/lib/tests/test_gateway_backends.rs
+++ b/lib/tests/test_gateway_backends.rs
@@ -1,4 +1,5 @@
-//! What is believed of backend servers, and which one a request goes to.
+//! The state kept for backend servers, the updates of their list, and the choice of a
+//! server for a request.
 
 use std::time::Duration;
 
@@ -21,14 +22,14 @@
 use cloverbend::quantity::Timestamp;
 use cloverbend::quantity::TokenCount;
 
-fn record(id: &str, leaving: bool) -> BackendRecord {
+fn record(id: &str, draining: bool) -> BackendRecord {
     BackendRecord {
         id: BackendId::without_start(id),
         service: "pool".parse().unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "zone-a".parse().unwrap(),
         slots: 4,
-        draining: leaving,
+        draining,
         reclaimable: false,
     }
 }
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_missing_record_means_gone_only_when_the_store_was_there() {
+fn a_missing_record_means_gone_unless_the_store_has_just_recovered() {
     let mut set = set_of(&["a", "b"]);
     let gone = set.note_absent(at(10_000), &id("a").name);
     assert_eq!(gone, Some(BackendChange::Gone(id("a"))));
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_list_that_others_kept_fresh_needs_no_grace() {
+fn a_list_kept_fresh_by_other_entries_gets_no_grace() {
     let mut set = set_of(&["a"]);
     set.confirm(at(19_500));
     set.note_store_recovered(at(20_000));
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_list_with_missing_servers_proves_nothing() {
+fn a_list_with_missing_servers_is_not_confirmed() {
     let mut set = set_of(&["a", "b"]);
     set.note_store_recovered(at(1_000));
     set.note_absent(at(1_100), &id("a").name);
@@ -87,11 +88,11 @@
 }
 
 #[test]
-fn an_older_list_of_another_entry_is_not_taken_over() {
+fn an_older_list_from_another_entry_is_ignored() {
     let mut set = set_of(&["a"]);
     set.put(record("a", true));
     set.confirm(at(10_000));
-    // Read by the other entry just before, and heard of just after.
+    // The other entry read this list before the own one was confirmed; it arrives after.
     let changes = set.replace_if_newer(at(10_050), at(9_950), vec![record("a", false)]);
     assert_eq!(changes, []);
     assert!(!set.get(&id("a")).unwrap().accepts_requests());
@@ -101,69 +102,69 @@
 }
 
 #[test]
-fn a_server_that_leaves_takes_no_work_again_whatever_comes_later() {
+fn a_draining_server_never_accepts_requests_again() {
     let mut set = set_of(&["a", "b"]);
-    let leaving = BackendChange::Draining(id("a"));
-    assert_eq!(set.put(record("a", true)), Some(leaving));
+    let draining = BackendChange::Draining(id("a"));
+    assert_eq!(set.put(record("a", true)), Some(draining));
     assert_eq!(set.put(record("a", false)), None);
     assert_eq!(
         set.replace(at(10_000), vec![record("a", false), record("b", false)]),
         []
     );
     assert!(!set.get(&id("a")).unwrap().accepts_requests());
-    // So say other entries also while their own list has gaps.
-    let leaving = BackendChange::Draining(id("b"));
-    assert_eq!(set.mark_listed_draining(&id("b")), Some(leaving));
+    // Other entries report draining servers even while their own lists are incomplete.
+    let draining = BackendChange::Draining(id("b"));
+    assert_eq!(set.mark_listed_draining(&id("b")), Some(draining));
     assert_eq!(set.mark_listed_draining(&id("b")), None);
     assert_eq!(set.mark_listed_draining(&id("unknown")), None);
     assert!(!set.get(&id("b")).unwrap().accepts_requests());
 }
 
-/// Returns the differences that `set` offers to an entry with that digest.
-fn changes_for(set: &BackendSet, digest: u64) -> ListChanges {
+/// Returns the changes that `set` sends to an entry with that digest.
+fn changes_since(set: &BackendSet, digest: u64) -> ListChanges {
     match set.list_update(Some(digest)) {
         ListUpdate::Changes(changes) => changes,
-        other => panic!("no differences but {other:?}"),
+        other => panic!("no changes but {other:?}"),
     }
 }
 
 #[test]
-fn an_entry_that_is_behind_is_told_the_difference() {
+fn an_entry_with_an_older_list_gets_the_changes() {
     let mut hub = set_of(&["a", "b", "c"]);
-    let mut leaf = hub.clone();
+    let mut peer = hub.clone();
     hub.put(record("d", false));
     hub.mark_listed_draining(&id("a"));
     hub.note_absent(at(10_000), &id("b").name);
-    let changes = changes_for(&hub, leaf.list_digest());
+    let changes = changes_since(&hub, peer.list_digest());
     assert_eq!(changes.records, [record("a", true), record("d", false)]);
     assert_eq!(changes.gone, [id("b").name]);
-    leaf.apply_changes(at(10_050), at(10_000), hub.list_digest(), changes);
-    assert_eq!(leaf.records(), hub.records());
-    assert_eq!(leaf.list_digest(), hub.list_digest());
+    peer.apply_changes(at(10_050), at(10_000), hub.list_digest(), changes);
+    assert_eq!(peer.records(), hub.records());
+    assert_eq!(peer.list_digest(), hub.list_digest());
 }
 
 #[test]
-fn differences_that_overlap_are_taken_over_once() {
+fn overlapping_changes_are_applied_once() {
     let mut hub = set_of(&["a"]);
-    let mut leaf = hub.clone();
-    let known = leaf.list_digest();
+    let mut peer = hub.clone();
+    let known = peer.list_digest();
     hub.put(record("b", false));
-    let first = (changes_for(&hub, known), hub.list_digest());
+    let first = (changes_since(&hub, known), hub.list_digest());
     hub.put(record("c", false));
-    // The leaf's word that it has the first had not come yet.
-    let second = (changes_for(&hub, known), hub.list_digest());
+    // The peer has not yet acknowledged the first changes, so they are included again.
+    let second = (changes_since(&hub, known), hub.list_digest());
     for (changes, target) in [first, second] {
-        leaf.apply_changes(at(10_050), at(10_000), target, changes);
+        peer.apply_changes(at(10_050), at(10_000), target, changes);
     }
-    assert_eq!(leaf.records(), hub.records());
+    assert_eq!(peer.records(), hub.records());
 }
 
 #[test]
-fn a_difference_to_another_list_changes_nothing() {
+fn changes_of_another_list_are_ignored() {
     let mut hub = set_of(&["a"]);
     let known = hub.list_digest();
     hub.put(record("b", false));
-    let changes = changes_for(&hub, known);
+    let changes = changes_since(&hub, known);
     let mut other = set_of(&["x"]);
     assert_eq!(
         other.apply_changes(at(10_050), at(10_000), hub.list_digest(), changes),
@@ -173,21 +174,21 @@
 }
 
 #[test]
-fn a_difference_from_before_the_own_proof_changes_nothing() {
+fn changes_older_than_the_own_confirmation_are_ignored() {
     let mut hub = set_of(&["a"]);
-    let mut leaf = hub.clone();
+    let mut peer = hub.clone();
     let known = hub.list_digest();
     hub.put(record("b", false));
-    let changes = changes_for(&hub, known);
-    leaf.confirm(at(10_000));
+    let changes = changes_since(&hub, known);
+    peer.confirm(at(10_000));
     assert_eq!(
-        leaf.apply_changes(at(10_050), at(9_950), hub.list_digest(), changes),
+        peer.apply_changes(at(10_050), at(9_950), hub.list_digest(), changes),
         []
     );
 }
 
 #[test]
-fn whoever_has_lost_track_is_told_the_whole_list() {
+fn an_entry_with_an_unknown_list_gets_the_full_list() {
     let hub = set_of(&["a", "b"]);
     let whole = ListUpdate::Full(hub.records());
     assert_eq!(hub.list_update(Some(77)), whole);
@@ -203,7 +204,7 @@
     assert_ne!(one.list_digest(), other.list_digest());
 }
 
-fn part(number: u64, tokens: u64) -> PromptBlock {
+fn block(number: u64, tokens: u64) -> PromptBlock {
     PromptBlock {
         id: number,
         tokens: TokenCount(tokens),
@@ -225,21 +226,26 @@
         }
     }
 
-    fn choose(&self, set: &BackendSet, now: Timestamp, parts: &[PromptBlock]) -> Option<String> {
-        self.choose_untried(set, now, parts, &[])
+    fn choose(
+        &self,
+        set: &BackendSet,
+        now: Timestamp,
+        prompt_blocks: &[PromptBlock],
+    ) -> Option<String> {
+        self.choose_untried(set, now, prompt_blocks, &[])
     }
 
     fn choose_untried(
         &self,
         set: &BackendSet,
         now: Timestamp,
-        parts: &[PromptBlock],
+        prompt_blocks: &[PromptBlock],
         tried: &[BackendId],
     ) -> Option<String> {
         let query = ChoiceQuery {
             service: &self.service,
             zone: &self.zone,
-            prompt_blocks: parts,
+            prompt_blocks,
             tried,
             limits: &self.limits,
         };
@@ -248,7 +254,7 @@
 }
 
 #[test]
-fn a_leaving_or_tried_server_is_never_chosen() {
+fn a_draining_or_tried_server_is_never_chosen() {
     let mut set = set_of(&["a", "b"]);
     set.put(record("a", true));
     let chooser = Chooser::new();
@@ -258,55 +264,61 @@
 }
 
 #[test]
-fn requests_with_a_shared_part_stay_together_until_it_is_crowded() {
+fn requests_with_a_shared_prefix_go_to_one_server_until_it_is_full() {
     let mut set = set_of(&["a", "b", "c", "d"]);
     let chooser = Chooser::new();
-    let parts = [part(1, 500), part(77, 4_000), part(1_000, 200)];
-    let home = chooser.choose(&set, at(0), &parts).unwrap();
-    // Entries that never talked agree.
-    let elsewhere = set_of(&["d", "c", "b", "a"]);
-    assert_eq!(chooser.choose(&elsewhere, at(0), &parts).unwrap(), home);
+    let prompt_blocks = [block(1, 500), block(77, 4_000), block(1_000, 200)];
+    let home = chooser.choose(&set, at(0), &prompt_blocks).unwrap();
+    // Entries agree on the home server without coordination.
+    let other_set = set_of(&["d", "c", "b", "a"]);
+    assert_eq!(
+        chooser.choose(&other_set, at(0), &prompt_blocks).unwrap(),
+        home
+    );
     let load = LoadReport {
         running: 4,
         waiting: 20,
         slots: 4,
     };
     set.note_load(at(10), &id(&home), load);
-    assert_ne!(chooser.choose(&set, at(20), &parts).unwrap(), home);
-    // The report grows old, and the part is still kept there.
-    assert_eq!(chooser.choose(&set, at(5_000), &parts).unwrap(), home);
+    assert_ne!(chooser.choose(&set, at(20), &prompt_blocks).unwrap(), home);
+    // The load report expires, and the block is still cached there.
+    assert_eq!(
+        chooser.choose(&set, at(5_000), &prompt_blocks).unwrap(),
+        home
+    );
 }
 
-/// Prompts of 50,000 tokens among short ones: while one is read, the streams
-/// that run beside it pause.
+/// Prompts of 50,000 tokens among short ones: during the prefill of one, the streams that
+/// run beside it pause.
 #[test]
-fn a_long_prompt_avoids_running_streams_and_short_ones_stay_at_home() {
-    let query = Chooser::new();
+fn a_long_prompt_avoids_running_streams_and_a_short_one_goes_home() {
+    let chooser = Chooser::new();
     let mut set = set_of(&["a", "b", "c"]);
-    // The home of the session, found by where its prompt goes first.
-    let short = [part(1, 3_000), part(2, 500)];
-    let home = query.choose(&set, at(1_000), &short).unwrap();
+    // The home server of the session is where its first prompt goes.
+    let short = [block(1, 3_000), block(2, 500)];
+    let home = chooser.choose(&set, at(1_000), &short).unwrap();
     for _ in 0..3 {
         set.note_sent(at(1_000), &id(&home), 0, &[1]);
     }
-    assert_eq!(query.choose(&set, at(1_100), &short), Some(home.clone()));
-    let long = [part(1, 3_000), part(3, 50_000)];
-    let elsewhere = query.choose(&set, at(1_100), &long).unwrap();
+    assert_eq!(chooser.choose(&set, at(1_100), &short), Some(home.clone()));
+    let long = [block(1, 3_000), block(3, 50_000)];
+    let elsewhere = chooser.choose(&set, at(1_100), &long).unwrap();
     assert_ne!(elsewhere, home);
-    // Where streams run everywhere alike, it goes home as well.
+    // If equally many streams run on all servers, the long prompt goes home as well.
     for other in ["a", "b", "c"].iter().filter(|other| **other != home) {
         for _ in 0..3 {
             set.note_sent(at(1_200), &id(other), 0, &[]);
         }
     }
-    assert_eq!(query.choose(&set, at(1_300), &long), Some(home));
+    assert_eq!(chooser.choose(&set, at(1_300), &long), Some(home));
 }
 
-/// Hundreds of entries have the same news, a quarter of a second old, by which
-/// one of forty servers looks a little emptier.
+/// Hundreds of entries have the same gossip, 250 ms old, by which one of forty servers
+/// looks slightly less utilized than the others.
 #[test]
-fn entries_with_the_same_news_do_not_all_choose_the_same_server() {
-    let query = Chooser::new();
+fn entries_with_the_same_gossip_do_not_all_choose_the_same_server() {
+    let chooser = Chooser::new();
     let names: Vec<String> = (0..40).map(|number| format!("s-{number:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut set = set_of(&names);
@@ -315,8 +327,8 @@
     }
     let mut chosen: std::collections::BTreeMap<String, usize> = Default::default();
     for request in 0..300 {
-        let server = query
-            .choose(&set, at(1_000), &[part(request, 700)])
+        let server = chooser
+            .choose(&set, at(1_000), &[block(request, 700)])
             .unwrap();
         *chosen.entry(server).or_default() += 1;
     }
@@ -329,17 +341,17 @@
 }
 
 #[test]
-fn sessions_that_share_only_their_beginning_are_spread() {
+fn sessions_that_share_only_their_first_block_are_spread() {
     let set = set_of(&["a", "b", "c", "d"]);
     let chooser = Chooser::new();
     let mut sessions = std::collections::BTreeMap::new();
     for session in 100..140 {
-        let parts = [
-            part(1, 500),
-            part(session, 4_000),
-            part(session + 1_000, 200),
+        let prompt_blocks = [
+            block(1, 500),
+            block(session, 4_000),
+            block(session + 1_000, 200),
         ];
-        let home = chooser.choose(&set, at(0), &parts).unwrap();
+        let home = chooser.choose(&set, at(0), &prompt_blocks).unwrap();
         *sessions.entry(home).or_insert(0) += 1;
     }
     assert_eq!(sessions.len(), 4, "{sessions:?}");
@@ -347,7 +359,7 @@
 }
 
 #[test]
-fn a_server_that_breaks_repeatedly_is_passed_over_but_not_for_ever() {
+fn an_ejected_server_is_used_only_if_there_is_no_other() {
     let mut set = set_of(&["a", "b"]);
     let chooser = Chooser::new();
     let first = chooser.choose(&set, at(0), &[]).unwrap();
@@ -355,10 +367,10 @@
         set.note_outcome(at(0), &id(&first), BackendOutcome::Broken),
         None
     );
-    let pause = set.note_outcome(at(1), &id(&first), BackendOutcome::Broken);
-    assert_eq!(pause, Some(Duration::from_millis(500)));
+    let ejection = set.note_outcome(at(1), &id(&first), BackendOutcome::Broken);
+    assert_eq!(ejection, Some(Duration::from_millis(500)));
     assert_ne!(chooser.choose(&set, at(2), &[]).unwrap(), first);
-    // With all others gone it is used all the same.
+    // It is the only server left, so it is used although it is ejected.
     let others: Vec<BackendId> = set.iter().map(|b| b.record.id.clone()).collect();
     for other in others.iter().filter(|other| other.name.0 != first) {
         set.note_absent(at(3), &other.name);
@@ -366,22 +378,22 @@
     assert_eq!(chooser.choose(&set, at(4), &[]).unwrap(), first);
 }
 
-/// Answers that are failures leave nobody out: all servers of a service may
-/// fail. They make others the better choice.
+/// Failure responses do not eject a server, because all servers of a service may fail.
+/// They only make the other servers a better choice.
 #[test]
-fn a_server_that_fails_often_is_chosen_less_until_it_serves_again() {
+fn a_server_that_fails_often_is_avoided_until_it_serves_again() {
     let mut set = set_of(&["a", "b"]);
     let chooser = Chooser::new();
     let first = id(&chooser.choose(&set, at(0), &[]).unwrap());
     for millis in 0..5 {
         set.note_outcome(at(millis), &first, BackendOutcome::Failed);
     }
-    assert!(!set.get(&first).unwrap().is_excluded(at(5)));
+    assert!(!set.get(&first).unwrap().is_ejected(at(5)));
     assert_ne!(id(&chooser.choose(&set, at(5), &[]).unwrap()), first);
     for millis in 5..60 {
         set.note_outcome(at(millis), &first, BackendOutcome::Served);
     }
-    // A short queue at the other one outweighs what is left of the failures.
+    // A short queue at the other server outweighs the remaining failure share.
     let load = LoadReport {
         running: 4,
         waiting: 1,
@@ -395,10 +407,10 @@
     assert_eq!(id(&chooser.choose(&set, at(60), &[]).unwrap()), first);
 }
 
-/// Left out means left out, whatever the share of failures: a server with a
-/// good past that breaks twice gets nothing while it is.
+/// Two connection failures eject a server even if its failure share is low. An ejected
+/// server gets no requests.
 #[test]
-fn a_server_with_a_good_past_is_left_out_after_two_breaks() {
+fn a_server_with_few_failures_is_ejected_after_two_connection_failures() {
     let mut set = set_of(&["a", "b"]);
     let chooser = Chooser::new();
     let first = id(&chooser.choose(&set, at(0), &[]).unwrap());
@@ -410,19 +422,19 @@
     for millis in 0..2 {
         set.note_outcome(at(millis), &first, BackendOutcome::Broken);
     }
-    // The other one is so full that only leaving out can outweigh it.
+    // The other server is so full that only an ejection can outweigh it.
     for other in ["a", "b"].map(id) {
         if other != first {
             set.note_load(at(2), &other, load(4));
         }
     }
-    assert!(set.get(&first).unwrap().is_excluded(at(2)));
+    assert!(set.get(&first).unwrap().is_ejected(at(2)));
     assert_ne!(id(&chooser.choose(&set, at(2), &[]).unwrap()), first);
-    assert!(!set.get(&first).unwrap().is_excluded(at(600)));
+    assert!(!set.get(&first).unwrap().is_ejected(at(600)));
 }
 
 #[test]
-fn sends_beyond_the_first_stay_below_the_bound_over_all_entries() {
+fn retries_stay_below_the_bound_over_all_entries() {
     let rule = RetryBudgetRule {
         ratio: 0.2,
         reserve: 50.0,
@@ -439,6 +451,6 @@
             }
         }
     }
-    // 800 requests within the window allow 160 and the reserve of 50.
+    // 800 requests within the window allow 160 retries, and the reserve allows 50.
     assert!((100..=210).contains(&taken), "{taken}");
 }
--- a/lib/tests/test_prefill_speed.rs
+++ b/lib/tests/test_prefill_speed.rs
@@ -1,19 +1,19 @@
-//! What is learnt of how fast replicas read prompts.
+//! Estimates of how fast replicas prefill prompts.
 
 use std::time::Duration;
 
-use cloverbend::gateway::prefill_speed::ReadingSpeed;
+use cloverbend::gateway::prefill_speed::PrefillSpeed;
 use proptest::prelude::*;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rstest::rstest;
 
-/// Answers of an engine that reads `rate` tokens a millisecond. One in ten
-/// waits behind others for up to a second.
-fn observe(speed: &mut ReadingSpeed, rate: f64, answers: u32, seed: u64) {
+/// Adds responses of an engine that prefills `rate` tokens per millisecond. One in ten
+/// requests waits behind others for up to a second.
+fn observe(speed: &mut PrefillSpeed, rate: f64, responses: u32, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    for _ in 0..answers {
+    for _ in 0..responses {
         let tokens = (rng.random::<f64>().powi(4) * 50_000.0) as u64;
         let waited = match rng.random_ratio(1, 10) {
             true => rng.random_range(0.0..1_000.0),
@@ -25,16 +25,19 @@
 }
 
 #[rstest]
-#[case::quarter(16.0)]
-#[case::earlier_sites(64.0)]
-#[case::newest_site(157.0)]
-#[case::four_times(628.0)]
-fn the_speed_of_any_engine_is_learnt(#[case] rate: f64) {
+#[case::slow(16.0)]
+#[case::medium(64.0)]
+#[case::fast(157.0)]
+#[case::very_fast(628.0)]
+fn the_estimate_converges_for_engines_of_any_speed(#[case] rate: f64) {
     for seed in 0..20 {
-        let mut speed = ReadingSpeed::new();
+        let mut speed = PrefillSpeed::new();
         observe(&mut speed, rate, 600, seed);
-        let learnt = speed.token_rate().0 / 1_000.0;
-        assert!((0.6..=1.4).contains(&(learnt / rate)), "{learnt} of {rate}");
+        let estimated = speed.token_rate().0 / 1_000.0;
+        assert!(
+            (0.6..=1.4).contains(&(estimated / rate)),
+            "{estimated} of {rate}"
+        );
         let expected = 35.0 + 20_000.0 / rate;
         let first = speed.first_event(20_000).as_secs_f64() * 1_000.0;
         assert!(
@@ -45,17 +48,17 @@
 }
 
 #[test]
-fn replicas_that_are_replaced_by_slower_ones_are_followed() {
-    let mut speed = ReadingSpeed::new();
+fn the_estimate_follows_replacement_by_slower_replicas() {
+    let mut speed = PrefillSpeed::new();
     observe(&mut speed, 157.0, 1_000, 1);
     observe(&mut speed, 40.0, 1_000, 2);
-    let learnt = speed.token_rate().0 / 1_000.0;
-    assert!((25.0..=55.0).contains(&learnt), "{learnt}");
+    let estimated = speed.token_rate().0 / 1_000.0;
+    assert!((25.0..=55.0).contains(&estimated), "{estimated}");
 }
 
 #[test]
 fn without_observations_the_prior_holds() {
-    let speed = ReadingSpeed::new();
+    let speed = PrefillSpeed::new();
     insta::assert_debug_snapshot!((
         speed.token_rate(),
         speed.first_event(0),
@@ -65,19 +68,19 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever is observed, also nonsense, expectations stay usable.
+    /// Estimates stay usable after any observations, even implausible ones.
     #[test]
-    fn any_observation_leaves_a_usable_expectation(
-        seen in prop::collection::vec((0_u64..1_000_000, 0_u64..100_000_000), 0..60),
+    fn any_observations_leave_a_usable_estimate(
+        observed in prop::collection::vec((0_u64..1_000_000, 0_u64..100_000_000), 0..60),
         tokens in 0_u64..1_000_000,
     ) {
-        let mut speed = ReadingSpeed::new();
-        for (tokens, micros) in seen {
+        let mut speed = PrefillSpeed::new();
+        for (tokens, micros) in observed {
             speed.note(tokens, Duration::from_micros(micros));
         }
         let rate = speed.token_rate().0;
         prop_assert!((1_000.0..=1_000_001.0).contains(&rate));
-        prop_assert!(speed.first_event(tokens) >= Duration::from_secs_f64(speed.reading_millis(tokens) / 1_001.0));
+        prop_assert!(speed.first_event(tokens) >= Duration::from_secs_f64(speed.prefill_millis(tokens) / 1_001.0));
         prop_assert!(speed.first_event(tokens + 1_000) >= speed.first_event(tokens));
     }
 }
--- a/lib/tests/test_sudden_loss.rs
+++ b/lib/tests/test_sudden_loss.rs
@@ -1,6 +1,6 @@
-//! The load pattern of a sudden loss: two of four zones lose their reclaimable
-//! replicas within a second and a third six seconds later, ten seconds after a
-//! first one, and none are to be had for a while.
+//! The load pattern of a sudden loss. One of four zones loses its reclaimable replicas,
+//! ten seconds later two zones lose theirs within a second, and six seconds after that
+//! the last one. No reclaimable replicas can be had for a while.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 /// Seconds until an ordered replica serves.
-const STARTUP: u64 = 4;
-/// Seconds between the notice of a reclaim and its end.
-const NOTICE: u64 = 2;
-/// Seconds after a reclaim in which no reclaimable replica is to be had.
-const DRY: u64 = 13;
+const STARTUP_S: u64 = 4;
+/// Seconds from the reclaim notice until the replicas stop.
+const NOTICE_S: u64 = 2;
+/// Seconds after a reclaim in which no reclaimable replica can be had.
+const UNAVAILABLE_S: u64 = 13;
 
 fn scale_rule() -> ScaleRule {
     let prices = [0.85, 1.2, 1.0, 1.1];
@@ -29,7 +29,7 @@
     ScaleRule {
         min: 1,
         max: 56,
-        startup: Duration::from_secs(STARTUP),
+        startup: Duration::from_secs(STARTUP_S),
         reclaimable_price: 0.18,
         zone_prices: zones
             .map(|(zone, price)| (zone.parse().unwrap(), price))
@@ -37,51 +37,51 @@
     }
 }
 
-/// Replicas that come four seconds after their order and leave at a reclaim.
-struct ReplicaWorld {
+/// Replicas that serve four seconds after their order and stop after a reclaim.
+struct ReplicaModel {
     planner: ReplicaPlanner,
-    /// What serves, by zone: reclaimable and fixed.
+    /// The replicas that serve, by zone: reclaimable and on-demand ones.
     serving: BTreeMap<&'static str, [u32; 2]>,
-    /// Those that serve on after the notice: until when, and how many.
-    leaving: Vec<(u64, u32)>,
-    /// What was ordered: when it serves, the zone, the kind, how many in all.
+    /// The replicas that serve on after a reclaim notice: until when, and how many.
+    draining: Vec<(u64, u32)>,
+    /// The orders: when the replicas serve, the zone, the kind, the total count.
     ordered: Vec<(u64, &'static str, usize, u32)>,
-    dry_until: u64,
+    unavailable_until: u64,
 }
 
-impl ReplicaWorld {
+impl ReplicaModel {
     fn new(each: u32) -> Self {
         let serving: BTreeMap<_, _> = ZONES.iter().map(|zone| (*zone, [each, 0])).collect();
         let planner = ReplicaPlanner::new(&scale_rule(), &supply_of(&serving), false);
         Self {
             planner,
             serving,
-            leaving: Vec::new(),
+            draining: Vec::new(),
             ordered: Vec::new(),
-            dry_until: 0,
+            unavailable_until: 0,
         }
     }
 
     fn reclaim(&mut self, second: u64, zone: &'static str) {
-        let there = self.serving.get_mut(zone).unwrap();
-        let gone = std::mem::take(&mut there[0]);
-        self.leaving.push((second + NOTICE, gone));
-        self.dry_until = second + DRY;
+        let present = self.serving.get_mut(zone).unwrap();
+        let reclaimed = std::mem::take(&mut present[0]);
+        self.draining.push((second + NOTICE_S, reclaimed));
+        self.unavailable_until = second + UNAVAILABLE_S;
         self.ordered.retain(|(_, _, kind, _)| *kind == 1);
     }
 
-    /// Plays a second and returns how many replicas serve in it, and how many
-    /// of them are paid in full.
+    /// Simulates a second. Returns how many replicas serve in it, and how many of them
+    /// are on-demand ones.
     fn step(&mut self, second: u64, demand: ReplicaDemand) -> (u32, u32) {
         for (at, zone, kind, count) in std::mem::take(&mut self.ordered) {
             if at > second {
                 self.ordered.push((at, zone, kind, count));
                 continue;
             }
-            let there = self.serving.get_mut(zone).unwrap();
-            there[kind] = count;
+            let present = self.serving.get_mut(zone).unwrap();
+            present[kind] = count;
         }
-        self.leaving.retain(|(until, _)| *until > second);
+        self.draining.retain(|(until, _)| *until > second);
         let now = Timestamp::from_millis(second * 1_000);
         let service = "pool".parse().unwrap();
         let supply = supply_of(&self.serving);
@@ -92,73 +92,73 @@
             let zone = ZONES.iter().find(|zone| **zone == order.zone.as_str());
             let zone = *zone.unwrap();
             let kind = usize::from(!order.reclaimable);
-            if order.reclaimable && second < self.dry_until {
+            if order.reclaimable && second < self.unavailable_until {
                 continue;
             }
-            let there = self.serving.get_mut(zone).unwrap();
-            if order.count < there[kind] {
-                there[kind] = order.count;
-            } else if order.count > there[kind] {
+            let present = self.serving.get_mut(zone).unwrap();
+            if order.count < present[kind] {
+                present[kind] = order.count;
+            } else if order.count > present[kind] {
                 let known =
                     |o: &(u64, &str, usize, u32)| (o.1, o.2, o.3) == (zone, kind, order.count);
                 if !self.ordered.iter().any(known) {
                     self.ordered
-                        .push((second + STARTUP, zone, kind, order.count));
+                        .push((second + STARTUP_S, zone, kind, order.count));
                 }
             }
         }
-        let fixed = self.serving.values().map(|there| there[1]).sum();
-        let reclaimable: u32 = self.serving.values().map(|there| there[0]).sum();
-        let leaving: u32 = self.leaving.iter().map(|(_, count)| count).sum();
-        (fixed + reclaimable + leaving, fixed)
+        let on_demand = self.serving.values().map(|present| present[1]).sum();
+        let reclaimable: u32 = self.serving.values().map(|present| present[0]).sum();
+        let draining: u32 = self.draining.iter().map(|(_, count)| count).sum();
+        (on_demand + reclaimable + draining, on_demand)
     }
 }
 
 fn supply_of(serving: &BTreeMap<&'static str, [u32; 2]>) -> ZoneSupply {
-    let zone = |(zone, [reclaimable, fixed]): (&&str, &[u32; 2])| {
+    let zone = |(zone, [reclaimable, on_demand]): (&&str, &[u32; 2])| {
         let supply = ReplicaSupply {
             reclaimable: *reclaimable,
-            on_demand: *fixed,
+            on_demand: *on_demand,
         };
         (zone.parse().unwrap(), supply)
     };
     serving.iter().map(zone).collect()
 }
 
-/// Callers need 33 replicas all the time. What serves is shown by second, from
-/// the first reclaim on.
+/// Callers need 34 replicas all the time. The snapshot shows the replicas that serve, by
+/// second, from the first reclaim on.
 #[test]
-fn most_of_the_need_serves_while_zones_are_reclaimed_one_after_the_other() {
+fn most_needed_replicas_serve_while_zones_are_reclaimed_one_after_another() {
     let demand = ReplicaDemand {
         slots: 15.0,
         prefill: 9.0,
     };
     let needed = demand.replicas().ceil() as u32;
-    let mut world = ReplicaWorld::new(18);
+    let mut model = ReplicaModel::new(18);
     let mut shown = format!("needed {needed}\n");
-    let (mut lacking, mut paid) = (0, 0);
+    let (mut missing, mut on_demand_total) = (0, 0);
     for second in 0..60 {
         for (at, zone) in [(20, "a"), (30, "b"), (31, "c"), (37, "d")] {
             if at == second {
-                world.reclaim(second, zone);
+                model.reclaim(second, zone);
             }
         }
-        let (serving, fixed) = world.step(second, demand);
-        lacking += needed.saturating_sub(serving);
-        paid += fixed;
+        let (serving, on_demand) = model.step(second, demand);
+        missing += needed.saturating_sub(serving);
+        on_demand_total += on_demand;
         if (20..56).contains(&second) && second % 2 == 0 {
-            shown += &format!("{second} s: {serving} serve, {fixed} fixed\n");
+            shown += &format!("{second} s: {serving} serve, {on_demand} on demand\n");
         }
     }
-    shown += &format!("lacking {lacking} and paid in full {paid} replica seconds");
+    shown += &format!("missing {missing} and on-demand {on_demand_total} replica seconds");
     insta::assert_snapshot!(shown);
 }
 
-/// What is on its way to a zone is not dealt once more to a cheaper one in which
-/// room has been made meanwhile: both would come.
+/// Replicas that start in one zone are not ordered again in a cheaper zone that has got
+/// room meanwhile. Otherwise both would start.
 #[test]
-fn what_is_on_its_way_is_not_dealt_to_other_zones_again() {
-    let there = |in_a: u32, in_d: u32| {
+fn starting_replicas_are_not_ordered_again_in_other_zones() {
+    let serving = |in_a: u32, in_d: u32| {
         BTreeMap::from([
             ("a", [in_a, 0]),
             ("b", [0, 0]),
@@ -166,30 +166,30 @@
             ("d", [in_d, 0]),
         ])
     };
-    let mut planner = ReplicaPlanner::new(&scale_rule(), &supply_of(&there(56, 10)), false);
+    let mut planner = ReplicaPlanner::new(&scale_rule(), &supply_of(&serving(56, 10)), false);
     let demand = ReplicaDemand {
         slots: 27.0,
         prefill: 16.8,
     };
     let mut shown = Vec::new();
-    // Zone d loses its replicas while a, the cheapest, has no room; then a loses
-    // all that it has.
+    // Zone d loses its replicas while the cheapest zone a has no room. Then zone a loses
+    // its replicas.
     for (second, in_a, in_d) in [(0, 56, 10), (1, 56, 0), (2, 0, 0), (3, 0, 0)] {
         let now = Timestamp::from_millis(second * 1_000);
         let service = "pool".parse().unwrap();
-        let supply = supply_of(&there(in_a, in_d));
+        let supply = supply_of(&serving(in_a, in_d));
         let orders = planner.plan(now, &service, &scale_rule(), demand, &supply);
-        let fixed = orders.iter().filter(|order| !order.reclaimable);
-        let fixed = fixed.map(|order| format!("{} {}", order.zone, order.count));
-        shown.push(fixed.collect::<Vec<_>>().join(", "));
+        let on_demand = orders.iter().filter(|order| !order.reclaimable);
+        let on_demand = on_demand.map(|order| format!("{} {}", order.zone, order.count));
+        shown.push(on_demand.collect::<Vec<_>>().join(", "));
     }
     insta::assert_snapshot!(shown.join("\n"));
 }
 
-/// What a request takes of a replica is learnt where a slot was free: queues
-/// would be taken for demand, and more replicas for a reason to order more.
+/// The processing time of a request is averaged only over requests that found a free slot.
+/// Otherwise queues would count as demand, and demand would grow with the time in queues.
 #[test]
-fn queues_do_not_lengthen_what_a_request_is_known_to_take() {
+fn queues_do_not_increase_the_processing_time() {
     let service = "pool".parse().unwrap();
     let mut set = BackendSet::new();
     let id = BackendId::without_start("a");
@@ -203,11 +203,11 @@
         reclaimable: true,
     });
     let mut shown = Vec::new();
-    for (held, had_room) in [(900, true), (900, true), (6_000, false), (6_000, false)] {
-        set.note_left(&id, Duration::from_millis(held), had_room);
+    for (elapsed, had_free_slot) in [(900, true), (900, true), (6_000, false), (6_000, false)] {
+        set.note_finished(&id, Duration::from_millis(elapsed), had_free_slot);
         shown.push((
             set.times(&service).processing_time,
-            set.times(&service).hold,
+            set.times(&service).total_time,
         ));
     }
     insta::assert_debug_snapshot!(shown);
