--- a/lib/src/gateway/backend_choice.rs
+++ b/lib/src/gateway/backend_choice.rs
@@ -6,9 +6,9 @@
 //! delay of the streams that run beside this prefill, and the expected cost of
 //! failures.
 //!
-//! Rendezvous hashing assigns a home server to each shared prefix. The home server
-//! counts as having the prefix cached even before the prefix was sent to it, so all
-//! entries send it to the same server without coordination.
+//! Rendezvous hashing assigns a home server to each shared prefix. The home server counts
+//! as having the prefix cached even before the first request with it, so all entries send
+//! such requests to the same server without coordination.
 
 use std::hash::Hasher;
 use std::time::Duration;
@@ -25,27 +25,27 @@
 use crate::id::ZoneName;
 use crate::quantity::Timestamp;
 
-/// Weight of the request's own prefill relative to the wait for the prefill queued
-/// ahead of it. The own prefill also delays everything that runs beside it or comes
-/// after it.
+/// Weight of the request's own prefill relative to the wait for the prefill queued ahead
+/// of it. The request's prefill also delays all requests that run beside it or come after
+/// it.
 const PREFILL_WEIGHT: f64 = 8.0;
-/// Delay of stream events that callers do not notice, in milliseconds: about the
-/// time in which a replica generates one event. Without this allowance short prompts
-/// would leave their home servers too, and recomputed shared tokens would rise by
-/// 32 % instead of 18 %.
+/// Delay of stream events that callers do not notice, in milliseconds: about the time in
+/// which a replica generates one event. Without this allowance short prompts would leave
+/// their home servers too, and the number of shared tokens that are computed again would
+/// rise by 32% instead of 18%.
 const UNNOTICED_DELAY_MS: f64 = 100.0;
 /// Weight of delaying all streams of a full replica, relative to the wait of the
 /// prompt itself. Twice the weight helps callers of replicas with 12 slots, but delays
 /// the largest prompts at replicas with 32 slots more.
 const STREAM_DELAY_WEIGHT: f64 = 6.0;
-/// Cost of a certain failure in milliseconds: about that of a caller's second try.
+/// Cost in milliseconds of sending to a server that fails every request: about that of a
+/// caller's second try.
 const FAILURE_COST_MS: f64 = 1_500.0;
-/// Cost of another availability zone in milliseconds: two trips of a millisecond,
-/// and the price of traffic between zones.
+/// Cost in milliseconds of a server in another availability zone: a round trip of two
+/// milliseconds, and the price of traffic between zones.
 const ZONE_COST_MS: f64 = 3.0;
 /// Random spread of costs in milliseconds, below the prefill time of a short prompt.
-/// Entries that decide by the same outdated gossip must not all choose the same
-/// server.
+/// Without it, entries with the same outdated gossip would all choose the same server.
 const COST_JITTER_MS: f64 = 20.0;
 /// Cost in milliseconds of a server that is ejected or whose record is missing. Such
 /// a server is used only if there is no other.
@@ -58,7 +58,8 @@
     pub service: &'a ServiceName,
     /// The entry's own availability zone.
     pub zone: &'a ZoneName,
-    /// The blocks of the prompt; only the last one is not shared with other requests.
+    /// The blocks of the prompt. The last one is the request's own; other requests may
+    /// share the blocks before it.
     pub prompt_blocks: &'a [PromptBlock],
     /// The backend servers to which this request was already sent.
     pub tried: &'a [BackendId],
@@ -116,8 +117,8 @@
             let cost = estimate_cost(backend, now, query, times, prefill_tokens);
             (cost, utilization(backend, now), prefill_tokens, backend)
         })
-        // Among equal costs the least utilized server wins: replicas generate faster
-        // the fewer requests they run.
+        // If costs are equal, the least utilized server is chosen, since replicas
+        // generate faster if they run fewer requests.
         .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)))
         .map(|(cost, _, prefill_tokens, backend)| {
             let slot_wait = estimate_slot_wait(backend, now, times.total_time);
@@ -136,9 +137,10 @@
         })
 }
 
-/// Returns the wait after which a request that no server accepts now may succeed:
-/// until the first back-off ends, or until the servers with a limit together allow
-/// the next request of any entry. Returns `None` if there is no server at all.
+/// Returns the wait after which a request that no server accepts now may succeed: until
+/// the first back-off ends, or until the servers with a limit together allow the next
+/// request of any entry. Returns `None` if no usable server is backing off or has a
+/// limit, for example because there is no server at all.
 pub fn time_until_available(
     set: &BackendSet,
     now: Timestamp,
@@ -168,10 +170,11 @@
     })
 }
 
-/// Returns the home server of a prompt among the candidates: that of its last shared
-/// block. Every home server has the blocks before it cached, since many prompts share
-/// them. Servers with a limit are home servers only if all candidates have a limit:
-/// entries get permits in turn and would disagree on the home server.
+/// Returns the home server of a prompt among the candidates, which is the home server of
+/// its last shared block. The blocks before that one are shared by so many prompts that
+/// every home server has them cached. Servers with a limit are home servers only if all
+/// candidates have a limit: entries get permits in turn and would disagree on the home
+/// server.
 fn home_server<'a>(
     candidates: &[&'a BackendState],
     query: &ChoiceQuery<'_>,
@@ -183,7 +186,7 @@
     rendezvous_hash(unlimited, block).or_else(|| rendezvous_hash(ids, block))
 }
 
-/// Returns the candidate with the highest hash together with a prompt block.
+/// Returns the candidate whose hash, seeded with a prompt block, is the highest.
 fn rendezvous_hash<'a>(
     candidates: impl Iterator<Item = &'a BackendId>,
     block: u64,
@@ -218,8 +221,8 @@
     (prefill_ms - UNNOTICED_DELAY_MS).max(0.0) * utilization * STREAM_DELAY_WEIGHT
 }
 
-/// Adds an incarnation to a hash. A restarted server has an empty cache, so the
-/// blocks that it had get new home servers.
+/// Adds an incarnation to a hash. The start time is included because a restarted server
+/// has an empty cache: its blocks may then get other home servers.
 fn write_id(hasher: &mut XxHash64, id: &BackendId) {
     hasher.write(id.name.0.as_bytes());
     if id.start.is_known() {
@@ -227,8 +230,8 @@
     }
 }
 
-/// Estimates the wait for a slot. The slots become free one after the other within
-/// the time that a request takes.
+/// Estimates the wait for a slot, on the assumption that the slots become free one after
+/// another, evenly over the time that a request takes.
 fn estimate_slot_wait(backend: &BackendState, now: Timestamp, total_time: Duration) -> Duration {
     let slots = backend.record.slots.max(1);
     let waiting = (backend.occupancy(now) + 1).saturating_sub(slots);
--- a/lib/src/gateway/backend_record.rs
+++ b/lib/src/gateway/backend_record.rs
@@ -18,10 +18,10 @@
     }
 }
 
-/// When an incarnation of a backend server started, in milliseconds since 1970 by the
-/// server's own clock. Start times are compared only with those of other incarnations
-/// under the same name, never with an entry's clock. 0 for a server that does not
-/// report it; such a server takes a new name for each incarnation.
+/// When an incarnation of a backend server started, in milliseconds since the Unix epoch
+/// by the server's own clock. Start times are compared only with those of other
+/// incarnations under the same name, never with an entry's clock. 0 for a server that
+/// does not report it; such a server takes a new name for each incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StartTime(pub u64);
 
@@ -51,8 +51,7 @@
         }
     }
 
-    /// Returns the incarnation of a server that started at `start`, in milliseconds
-    /// since 1970 by the server's own clock; 0 if the server does not report it.
+    /// Returns the incarnation of a server that started at `start`, as in [`StartTime`].
     pub fn with_start(name: impl Into<String>, start: u64) -> Self {
         Self {
             name: BackendName(name.into()),
@@ -106,7 +105,7 @@
     pub slots: u32,
 }
 
-/// How a request ended at a backend server, as far as it shows the server's health.
+/// How a request ended at a backend server, as an indication of the server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendOutcome {
     /// The server responded as expected.
--- a/lib/src/gateway/backend_set.rs
+++ b/lib/src/gateway/backend_set.rs
@@ -24,18 +24,19 @@
 use crate::id::ServiceName;
 use crate::quantity::Timestamp;
 
-/// How long a record may be missing after the store has recovered until the backend
-/// server counts as gone. By the platform's description, running servers write their
-/// records within two seconds, and the list is read twice a second.
+/// The time after a recovery of the store within which a missing record does not mean
+/// that the backend server is gone. By the platform's description, running servers write
+/// their records within two seconds, and the list is read twice a second.
 const MISSING_GRACE: Duration = Duration::from_millis(2_300);
 /// The maximum age of a list that counts as kept fresh by other entries.
 const FRESH_LIST_AGE: Duration = Duration::from_millis(2_000);
-/// The duration of the first ejection after failures.
+/// The duration of a server's first ejection. Each further connection failure doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 /// The maximum duration of an ejection. A server that has recovered is tried again
 /// within it.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// The number of consecutive failures after which a backend server is ejected.
+/// The number of connection failures without a served request in between after which a
+/// backend server is ejected. Failure responses do not count.
 const FAILURES_TO_EJECT: u32 = 2;
 /// The maximum back-off. A server that needs a longer one asks for it again in its
 /// next response.
@@ -99,8 +100,8 @@
         (backend.record.id == *id).then_some(backend)
     }
 
-    /// Like [`Self::get`], for a change of the state. Late events of an earlier
-    /// incarnation do not change the state of the present one.
+    /// Like [`Self::get`], but mutable. Returns `None` for an earlier incarnation, so
+    /// that its late events do not change the state of the present one.
     fn get_mut(&mut self, id: &BackendId) -> Option<&mut BackendState> {
         let backend = self.backends.get_mut(&id.name)?;
         (backend.record.id == *id).then_some(backend)
@@ -111,9 +112,9 @@
         self.times.get(service).copied().unwrap_or_default()
     }
 
-    /// Adds the observation that the first event of a response arrived `took` after
-    /// the request was sent to a replica that had to prefill `prefill_tokens` prompt
-    /// tokens, and none of other requests as far as this entry knows.
+    /// Adds the observation that the first event of a response arrived `took` after the
+    /// request was sent to a replica that had to prefill `prefill_tokens` prompt tokens
+    /// of this request and, as far as this entry knows, none of other requests.
     pub fn note_first_event(&mut self, id: &BackendId, prefill_tokens: u64, took: Duration) {
         let Some(backend) = self.get(id) else {
             return;
@@ -129,7 +130,7 @@
     }
 
     /// Updates the digest and the history after a server's record has changed. `before`
-    /// and `after` are the server's digests, or `None` while it is not listed.
+    /// and `after` are the digests of its record, or `None` if it was or is not listed.
     fn note_listing(&mut self, name: &BackendName, before: Option<u64>, after: Option<u64>) {
         if before == after {
             return;
@@ -159,7 +160,8 @@
         }
     }
 
-    /// Returns the changes since the list had a digest, if that state is remembered.
+    /// Returns the changes since the list had the digest `digest`, or `None` if the
+    /// history does not go back to that state.
     fn changes_since(&self, digest: u64) -> Option<ListChanges> {
         let mut changes = ListChanges::default();
         for name in self.history.changed_since(digest)? {
@@ -177,8 +179,8 @@
         backends.map(|backend| backend.record.clone()).collect()
     }
 
-    /// Notes that the list was up to date at a time. A list with missing records is
-    /// never confirmed.
+    /// Notes that the list was up to date at the time `at`. A list with missing records
+    /// is never confirmed.
     pub fn confirm(&mut self, at: Timestamp) {
         if self.has_missing() {
             return;
@@ -206,8 +208,8 @@
         }
     }
 
-    /// Returns the record to list after `record` has arrived, or `None` if it is of an
-    /// earlier incarnation and changes nothing. A draining incarnation never accepts
+    /// Returns the record to list after `record` has arrived, or `None` if `record` is of
+    /// an earlier incarnation and changes nothing. A draining incarnation never accepts
     /// requests again, so a record without `draining` is an older one.
     fn merge_record(&self, record: &BackendRecord) -> Option<BackendRecord> {
         let Some(known) = self.backends.get(&record.id.name) else {
@@ -223,17 +225,17 @@
     }
 
     /// Returns whether a record lacks the start time that its server reported before.
-    /// Only another writer leaves it out.
+    /// Such a record was not written by the server itself.
     pub fn lacks_start(&self, record: &BackendRecord) -> bool {
         let name = &record.id.name;
         let known = self.backends.get(name);
         let had_start = known.is_some_and(|backend| backend.record.id.start.is_known());
-        !record.id.start.is_known() && (had_start || self.ended.knows(name))
+        !record.id.start.is_known() && (had_start || self.ended.contains(name))
     }
 
     /// Adds or updates a record. A record of a later incarnation discards the state kept
-    /// for the earlier one. A late record of an earlier incarnation changes nothing, but
-    /// the server no longer counts as missing, since the store has a record of it.
+    /// for the earlier one. A late record of an earlier incarnation, from the store or
+    /// from another entry, only ends the time for which the server counts as missing.
     pub fn put(&mut self, record: BackendRecord) -> Option<BackendChange> {
         let name = record.id.name.clone();
         let before = self.listing_digest(&name);
@@ -267,7 +269,7 @@
         change
     }
 
-    /// Lists a server as draining, as gossip from another entry says.
+    /// Marks a listed server as draining after another entry has reported that it drains.
     pub fn mark_listed_draining(&mut self, id: &BackendId) -> Option<BackendChange> {
         let before = self.listing_digest(&id.name);
         self.draining.note(id);
@@ -278,8 +280,9 @@
         (!was_draining).then(|| BackendChange::Draining(id.clone()))
     }
 
-    /// Notes that the store has no record of a server. The server is missing during the
-    /// grace after the store has recovered, and otherwise gone.
+    /// Notes that the store has no record of a server. During the grace after the store
+    /// has recovered, the server only counts as missing, unless it was draining.
+    /// Otherwise it is removed.
     pub fn note_absent(&mut self, now: Timestamp, name: &BackendName) -> Option<BackendChange> {
         let backend = self.backends.get_mut(name)?;
         let in_grace = self
@@ -293,9 +296,9 @@
         self.remove(name)
     }
 
-    /// Removes the server whose record in the store cannot be used. Even if the record
-    /// before was usable, there is no grace: a record exists, but it describes no
-    /// server.
+    /// Removes a server whose record in the store cannot be used, even if an earlier
+    /// record was usable. There is no grace, because the record is not missing: it
+    /// exists, but does not describe a server.
     pub fn note_unusable(&mut self, name: &BackendName) -> Option<BackendChange> {
         self.remove(name)
     }
@@ -308,7 +311,8 @@
         Some(BackendChange::Gone(id))
     }
 
-    /// Replaces the list. Servers that are not in `records` are absent.
+    /// Replaces the list. Servers that are not in `records` are handled as by
+    /// [`Self::note_absent`].
     pub fn replace(&mut self, now: Timestamp, records: Vec<BackendRecord>) -> Vec<BackendChange> {
         let listed: BTreeSet<BackendName> = records
             .iter()
@@ -326,8 +330,8 @@
         changes
     }
 
-    /// Replaces the list by one that was up to date at `known_at`, unless the own list
-    /// was confirmed at that time or later.
+    /// Replaces the list with one that was up to date at `known_at`, unless the present
+    /// list was confirmed at that time or later.
     pub fn replace_if_newer(
         &mut self,
         now: Timestamp,
@@ -341,9 +345,9 @@
     }
 
     /// Applies changes from another entry. They lead to the list that was up to date at
-    /// `known_at` and has the digest `target`. Nothing changes if the own list was
-    /// confirmed at `known_at` or later, or if the changes do not lead from the own list
-    /// to the target.
+    /// `known_at` and has the digest `target`. Nothing changes if this entry's list was
+    /// confirmed at `known_at` or later, or if the changes do not turn it into the target
+    /// list, since they were then made for another list.
     pub fn apply_changes(
         &mut self,
         now: Timestamp,
@@ -414,15 +418,17 @@
         }
     }
 
-    /// Subtracts the prompt tokens of a request whose prefill is done.
+    /// Subtracts the prompt tokens of a request whose prefill is done from the pending
+    /// ones.
     pub fn note_prefilled(&mut self, id: &BackendId, prefill_tokens: u64) {
         if let Some(backend) = self.get_mut(id) {
             backend.pending_tokens = backend.pending_tokens.saturating_sub(prefill_tokens);
         }
     }
 
-    /// Subtracts a request that has finished `elapsed` after it was sent.
-    /// `had_free_slot` says whether a slot seemed free at that time.
+    /// Stops counting a request that has finished, and adds its time to the observed
+    /// times of the service. `elapsed` is the time since the request was sent, and
+    /// `had_free_slot` whether a slot seemed free when it was sent.
     pub fn note_finished(&mut self, id: &BackendId, elapsed: Duration, had_free_slot: bool) {
         let Some(backend) = self.get_mut(id) else {
             return;
@@ -461,8 +467,8 @@
         }
     }
 
-    /// Sets the requests that other entries have in flight at a backend server, and
-    /// their pending prompt tokens.
+    /// Sets how many requests other entries have in flight at a backend server, and how
+    /// many of their prompt tokens are pending.
     pub fn note_peer_load(&mut self, id: &BackendId, in_flight: u32, pending_tokens: u64) {
         if let Some(backend) = self.get_mut(id) {
             backend.peer_in_flight = in_flight;
@@ -470,8 +476,8 @@
         }
     }
 
-    /// Updates a server's failure counts after a request. Returns the duration of the
-    /// ejection if the server is ejected now.
+    /// Updates a server's failure share and its connection failures after a request.
+    /// Returns the duration of the ejection if this outcome ejects the server.
     pub fn note_outcome(
         &mut self,
         now: Timestamp,
@@ -485,12 +491,12 @@
             backend.failure_share += (newest - backend.failure_share) * FAILURE_WEIGHT;
         }
         match outcome {
-            BackendOutcome::Served => backend.consecutive_failures = 0,
+            BackendOutcome::Served => backend.connection_failures = 0,
             BackendOutcome::Failed | BackendOutcome::Full => {}
             BackendOutcome::Broken => {
-                backend.consecutive_failures += 1;
-                if backend.consecutive_failures >= FAILURES_TO_EJECT {
-                    let doublings = (backend.consecutive_failures - FAILURES_TO_EJECT).min(4);
+                backend.connection_failures += 1;
+                if backend.connection_failures >= FAILURES_TO_EJECT {
+                    let doublings = (backend.connection_failures - FAILURES_TO_EJECT).min(4);
                     let ejection = (FIRST_EJECTION * (1 << doublings)).min(MAX_EJECTION);
                     backend.ejected_until = now.after(ejection);
                     return Some(ejection);
--- a/lib/src/gateway/backend_state.rs
+++ b/lib/src/gateway/backend_state.rs
@@ -12,7 +12,8 @@
 
 /// The most prompt blocks remembered for a backend server.
 const MAX_BLOCKS: usize = 512;
-/// How long a load report counts. Afterwards only the counts of the entries do.
+/// How long a load report of the server is used. After that, only the requests that
+/// entries count themselves are.
 const LOAD_REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
 
 /// The state that this entry keeps for a backend server.
@@ -22,21 +23,22 @@
     pub record: BackendRecord,
     /// Requests that this entry has in flight there.
     pub in_flight: u32,
-    /// Prompt tokens of those requests whose prefill is pending.
+    /// Prompt tokens of this entry's requests whose prefill is pending.
     pub pending_tokens: u64,
     /// Requests that other entries have in flight there, by their last gossip.
     pub peer_in_flight: u32,
-    /// Prompt tokens of those requests whose prefill is pending.
+    /// Prompt tokens of other entries' requests whose prefill is pending.
     pub peer_pending_tokens: u64,
     /// The share of requests that failed, as a moving average.
     pub failure_share: f64,
     pub(super) load: Option<(Timestamp, LoadReport)>,
-    pub(super) consecutive_failures: u32,
+    /// Connection failures since the last request that the server served.
+    pub(super) connection_failures: u32,
     pub(super) ejected_until: Timestamp,
     pub(super) missing_since: Option<Timestamp>,
     /// Whether the server reported in a response that it is draining.
     pub(super) reported_draining: bool,
-    /// The end of the back-off that the server asked of this entry.
+    /// The end of the back-off that the server requested from this entry.
     pub(super) back_off_until: Timestamp,
     /// When this entry last sent each prompt block there.
     sent_blocks: HashMap<u64, Timestamp>,
@@ -52,7 +54,7 @@
             peer_pending_tokens: 0,
             failure_share: 0.0,
             load: None,
-            consecutive_failures: 0,
+            connection_failures: 0,
             ejected_until: Timestamp(0),
             missing_since: None,
             reported_draining: false,
@@ -61,8 +63,8 @@
         }
     }
 
-    /// Returns whether new requests may be sent to the server: neither its record nor
-    /// a response of it says that it is draining.
+    /// Returns whether new requests may be sent to the server, which is so until its
+    /// record or a response from it says that it is draining.
     pub fn accepts_requests(&self) -> bool {
         !self.record.draining && !self.reported_draining
     }
--- a/lib/src/gateway/draining_backends.rs
+++ b/lib/src/gateway/draining_backends.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DrainingBackends {
     incarnations: HashSet<BackendId>,
-    /// The same incarnations, the one noted longest ago first.
+    /// The same incarnations in the order in which they were noted.
     order: VecDeque<BackendId>,
 }
 
--- a/lib/src/gateway/ended_incarnations.rs
+++ b/lib/src/gateway/ended_incarnations.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns whether an incarnation of the server is remembered.
-    pub fn knows(&self, name: &BackendName) -> bool {
+    pub fn contains(&self, name: &BackendName) -> bool {
         self.starts.contains_key(name)
     }
 
--- a/lib/src/gateway/list_history.rs
+++ b/lib/src/gateway/list_history.rs
@@ -43,12 +43,12 @@
 /// What this entry sends to another one about the list of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Nothing: the own list may be incomplete.
+    /// Nothing, because this entry's list may be incomplete.
     Nothing,
     /// The full list.
     Full(Vec<BackendRecord>),
     /// The changes from the list that the other entry has. With 200 servers, some of
-    /// which come or go each second, they take a hundredth of the full list.
+    /// which come or go each second, they are a hundredth of the size of the full list.
     Changes(ListChanges),
 }
 
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Returns the servers that changed since the list had a digest; `None` if that
-    /// state is no longer remembered or never existed.
+    /// Returns the servers that changed since the list had the digest `digest`, or `None`
+    /// if that state is no longer remembered or never existed.
     pub fn changed_since(&self, digest: u64) -> Option<BTreeSet<&BackendName>> {
-        // The list may have had this digest several times; the last one counts.
+        // The list may have had this digest several times; the last time counts.
         let first = self
             .changes
             .iter()
--- a/lib/src/gateway/load_shedding.rs
+++ b/lib/src/gateway/load_shedding.rs
@@ -1,10 +1,10 @@
 //! Decides which requests are shed when the replicas of a service are full.
 //!
-//! Pure logic: no I/O and no clock. The case to handle: half of the replicas are lost
-//! within a second, and no new ones start for some seconds. If every request were
-//! still sent, all would queue and be late, and late requests would occupy the slots
-//! of requests that could be served in time. So a request whose wait would make it
-//! late is refused at once, and less urgent requests are refused first.
+//! Pure logic: no I/O and no clock. The failure to handle is that half of the replicas
+//! are lost within a second, and no new ones start for some seconds. If every request
+//! were still sent, all would queue and be late, and late requests would occupy the slots
+//! of requests that could be served in time. So a request whose wait would make it late
+//! is refused at once, and less urgent requests are refused first.
 
 use std::time::Duration;
 
@@ -14,15 +14,15 @@
 /// The share of the shortest target latency that the most urgent request may wait for
 /// a slot.
 const URGENT_WAIT_SHARE: f64 = 0.7;
-/// The decrease of that share for each lower urgency. All shares refer to the shortest
-/// target latency: with a share of its own longer target, a less urgent request could
-/// wait longer and would fill the queue for which urgent ones are refused.
+/// The decrease of that share for each level of lower urgency. All shares refer to the
+/// shortest target latency: with a share of its own longer target, a less urgent request
+/// could wait longer, and the queue would fill up so that urgent requests are refused.
 const URGENCY_STEP: f64 = 0.3;
 /// The lower bound of that share.
 const MIN_WAIT_SHARE: f64 = 0.05;
-/// The width of the range around a limit, relative to the limit, in which the
-/// probability of refusal rises from 0 to 1. Hundreds of entries decide by the same
-/// gossip; with a sharp limit all of them would refuse at one moment and none at the
+/// The width of the range around a limit, relative to the limit, in which the probability
+/// of refusal rises from 0 to 1. Hundreds of entries decide on the basis of the same
+/// gossip; with a sharp limit, all of them would refuse at one moment and none at the
 /// next.
 const RAMP_WIDTH: f64 = 1.6;
 
@@ -58,8 +58,8 @@
         .then(|| query.expected_latency + query.expected_latency.mul_f64(query.draw))
 }
 
-/// Returns the probability of refusing a request that takes `time` where `limit` is
-/// allowed: one half at the limit.
+/// Returns the probability of refusing a request whose time is `time` if `limit` is
+/// allowed. It is one half at the limit, and is not clamped to the range from 0 to 1.
 fn refusal_probability(time: Duration, limit: Duration) -> f64 {
     let excess = time.as_secs_f64() / limit.as_secs_f64().max(f64::MIN_POSITIVE) - 1.0;
     excess / RAMP_WIDTH + 0.5
--- a/lib/src/gateway/prefill_speed.rs
+++ b/lib/src/gateway/prefill_speed.rs
@@ -14,22 +14,23 @@
 /// The factor by which each observation reduces the weight of all earlier ones. About
 /// the last 200 observations count, which are some seconds of one entry's traffic.
 const WEIGHT_DECAY: f64 = 0.995;
-/// The assumed intercept before any observation, in milliseconds: one step of an
-/// engine and the way of its response.
+/// The assumed intercept before any observation, in milliseconds: one step of an engine
+/// and the transfer of its response.
 const PRIOR_INTERCEPT_MS: f64 = 30.0;
 /// The assumed prefill time of one token before any observation, in milliseconds. It
-/// is the geometric mean for engines that prefill 10 to 1,000 tokens in a millisecond.
+/// corresponds to 100 tokens per millisecond, the geometric mean of the slowest and the
+/// fastest engines, which prefill 10 and 1,000.
 const PRIOR_TOKEN_MS: f64 = 0.01;
 /// The weight of the prior, in observations. It is low, so that the prior matters
 /// only until a second of traffic has been observed.
 const PRIOR_WEIGHT: f64 = 4.0;
 /// The prompt tokens of the two observations that make up the prior.
 const PRIOR_TOKENS: [f64; 2] = [0.0, 4_000.0];
-/// The bounds of the prefill time of one token, in milliseconds. A time beyond them
-/// results from faulty observations.
+/// The bounds of the prefill time of one token, in milliseconds: 1,000 tokens and 1 token
+/// per millisecond. A time beyond them results from faulty observations.
 const TOKEN_MS_BOUNDS: [f64; 2] = [0.001, 1.0];
-/// The cap of an observed time, as a multiple of the expected time. A response that
-/// takes longer waited for something else than its own prefill.
+/// The cap of an observed time, as a multiple of the expected time. If a response takes
+/// longer, it has also waited for something other than its own prefill.
 const OUTLIER_CAP: u32 = 3;
 
 /// The estimated times to the first event at the replicas of one service. The fields
@@ -50,7 +51,7 @@
 }
 
 impl PrefillSpeed {
-    /// Returns the prior, which holds until there are observations.
+    /// Returns the prior, which is the estimate before any observation.
     pub fn new() -> Self {
         let mut speed = Self {
             weight: 0.0,
@@ -67,8 +68,8 @@
     }
 
     /// Adds the observation that the first event arrived `took` after the request was
-    /// sent to a replica that had to prefill `tokens` prompt tokens, and none of other
-    /// requests.
+    /// sent to a replica that had to prefill `tokens` prompt tokens of this request and
+    /// none of other requests.
     pub fn note(&mut self, tokens: u64, took: Duration) {
         let cap = self.first_event(tokens) * OUTLIER_CAP;
         let millis = took.min(cap).as_secs_f64() * 1_000.0;
--- a/lib/src/gateway/replica_planner.rs
+++ b/lib/src/gateway/replica_planner.rs
@@ -1,9 +1,9 @@
 //! Plans how many replicas a service has in each availability zone.
 //!
-//! Pure logic: no I/O and no clock. Most replicas are reclaimable and spread evenly
-//! over all zones, with enough of them to lose one zone, or two where they are cheap.
-//! While reclaimable replicas are unavailable, on-demand replicas in the cheapest zones
-//! replace them.
+//! Pure logic: no I/O and no clock. Most replicas are reclaimable and spread evenly over
+//! all zones, with enough of them to survive the loss of one zone, or of two if they are
+//! cheap. While reclaimable replicas are unavailable, on-demand replicas in the cheapest
+//! zones replace them.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 use crate::quantity::Timestamp;
 
 /// The share of a replica's time that it may spend on prefill. Above it, generation
-/// beside the prefill slows down twofold and more.
+/// beside the prefill slows down by a factor of two or more.
 const PREFILL_UTILIZATION: f64 = 0.6;
 /// The average share of a replica's slots that may be occupied.
 const SLOT_UTILIZATION: f64 = 0.9;
@@ -27,38 +27,39 @@
 /// times.
 const MIN_INITIAL_SHARE: f64 = 0.4;
 /// The price of a reclaimable replica, relative to an on-demand one, up to which enough
-/// reclaimable replicas are kept for the loss of two zones. With four zones this takes
-/// 0.67 of the demand in additional reclaimable replicas. Above the price, on-demand
-/// replicas replace those of the second zone: a third of the demand at the full price
-/// for 15 s at each loss.
+/// reclaimable replicas are kept for the loss of two zones. With four zones, this takes
+/// reclaimable replicas for another 0.67 of the demand, compared with the loss of one
+/// zone. Above the price, on-demand replicas replace those of the second zone, which
+/// takes a third of the demand at the full price for 15 s at each loss.
 const CHEAP_PRICE_RATIO: f64 = 0.3;
 /// The window over which demand is averaged to order on-demand replicas. Shorter rises
 /// are over before such replicas have started.
 const STEADY_WINDOW: Duration = Duration::from_secs(6);
 /// The share of the needed replicas up to which on-demand replicas replace missing
-/// reclaimable ones. The remaining replicas can run above the planned utilization, and
-/// on-demand replicas cost several times as much as reclaimable ones.
+/// reclaimable ones. It is below 1 because the replicas can run above the planned
+/// utilization, and on-demand replicas cost several times as much as reclaimable ones.
 const ON_DEMAND_COVER: f64 = 0.65;
-/// The same share after a loss. No reclaimable replica can be had then for 15 s, and
-/// all requests beyond the capacity are late meanwhile.
+/// The same share after a loss. No reclaimable replicas are available then for 15 s, in
+/// which all requests beyond the capacity are late. It is below 1 because ordering for
+/// the whole need about doubles the additional cost for a small gain.
 const ON_DEMAND_COVER_AFTER_LOSS: f64 = 0.8;
-/// The number of further zones that may be lost after a loss before an order takes
-/// effect. Reclaims come in groups, two of them within a second.
+/// The number of further zones that are expected to be lost after a loss, before an order
+/// takes effect. Reclaims come in groups, two of them within a second.
 const EXPECTED_FURTHER_LOSSES: usize = 2;
-/// The window whose highest need counts after a loss. It is longer than the demand of
-/// all entries takes to arrive by gossip.
+/// The window whose highest need counts after a loss. It is longer than gossip takes to
+/// deliver the demand of all entries.
 const LOSS_NEED_WINDOW: Duration = Duration::from_secs(2);
 /// How long fewer replicas must have been enough before the orders are lowered. A
 /// replica that stops loses its cached prompts and its long streams.
 const SCALE_DOWN_DELAY: Duration = Duration::from_secs(15);
-/// The same for on-demand replicas, which cost several times as much: about the time in
-/// which reclaimable replicas settle.
+/// The same for on-demand replicas, which cost several times as much. It is about the
+/// time until the number of reclaimable replicas has settled.
 const ON_DEMAND_SCALE_DOWN_DELAY: Duration = Duration::from_secs(3);
 /// How long after a loss of reclaimable replicas another one is expected. Reclaims come
 /// in groups within 15 s.
 const LOSS_WINDOW: Duration = Duration::from_secs(15);
-/// How long an ordered replica is expected beyond its startup time: until its record
-/// has reached this entry.
+/// The time, in addition to its startup time, for which an ordered replica counts as
+/// starting. Within it, the record of the replica reaches this entry.
 const START_MARGIN: Duration = Duration::from_secs(2);
 /// The number of cheapest zones that get on-demand replicas first.
 const ON_DEMAND_ZONES: usize = 2;
@@ -91,8 +92,8 @@
 /// The replicas that accept requests, by zone.
 pub type ZoneSupply = BTreeMap<ZoneName, ReplicaSupply>;
 
-/// A number that rises immediately, and falls after a lower number was wanted for a
-/// delay.
+/// A number that increases immediately, but decreases only after lower numbers have been
+/// wanted throughout a delay.
 #[derive(Clone, Copy, Debug)]
 struct DelayedDecrease {
     value: u32,
@@ -124,7 +125,7 @@
     }
 }
 
-/// The values of the last while.
+/// The values within a time window.
 #[derive(Clone, Debug)]
 struct RecentValues {
     window: Duration,
@@ -167,7 +168,7 @@
 pub struct ReplicaPlanner {
     /// The lower bound of the needed replicas.
     min_needed: u32,
-    /// The replicas present when the planner started, without those spare for the loss
+    /// The replicas present when the planner started, without the spare ones for the loss
     /// of zones.
     initial: u32,
     /// The needed replicas within [`SCALE_DOWN_DELAY`], to order reclaimable ones.
@@ -252,9 +253,10 @@
         orders
     }
 
-    /// Returns for each zone the on-demand replicas that run or start there, and the
-    /// room for them. Starting replicas count: the room in zones changes from plan to
-    /// plan, and a replacement placed in another zone would be additional to them.
+    /// Returns for each zone the on-demand replicas that run or start there, and the most
+    /// that may be there. Starting replicas count, because the room in zones changes from
+    /// plan to plan: if a later plan placed them in another zone, replicas would start in
+    /// both.
     fn on_demand_zones(
         &self,
         now: Timestamp,
@@ -321,26 +323,26 @@
     /// callers yet and the need is unknown. Reclaimable replicas are then ordered as if
     /// all initial replicas were needed, and on-demand ones only for the lower bound.
     fn note_demand(&mut self, now: Timestamp, demand: ReplicaDemand) {
-        let (needed, surely_needed) = if demand == ReplicaDemand::default() {
+        let (needed, needed_on_demand) = if demand == ReplicaDemand::default() {
             (self.initial, self.min_needed)
         } else {
             let needed = (demand.replicas().ceil() as u32).max(self.min_needed);
             (needed, needed)
         };
         if self.recent.values.is_empty() {
-            // The demand before this planner started is unknown. The initial replicas
-            // stand for it.
+            // The demand before this planner started is unknown. The initial replicas are
+            // taken as the need at that time.
             self.recent.note(now, self.initial);
         }
         self.recent.note(now, needed);
-        self.steady.note(now, surely_needed);
-        self.latest.note(now, surely_needed);
+        self.steady.note(now, needed_on_demand);
+        self.latest.note(now, needed_on_demand);
     }
 
     /// Remembers zones that lost at least half of their reclaimable replicas without an
-    /// order. Further losses often follow within seconds, and no new reclaimable
-    /// replicas can be had then. Smaller losses are crashes of single replicas, after
-    /// which no further loss is expected.
+    /// order. Further losses often follow within seconds, and no new reclaimable replicas
+    /// are available then. Smaller losses are crashes of single replicas, after which no
+    /// further loss is expected.
     fn note_losses(&mut self, now: Timestamp, supply: &ZoneSupply, per_zone: u32) {
         for (zone, present) in supply {
             let last = self.last_reclaimable.entry(zone.clone()).or_default();
@@ -354,8 +356,8 @@
     }
 }
 
-/// Returns how many reclaimable replicas remain after the loss of so many zones, those
-/// with the most replicas first.
+/// Returns how many reclaimable replicas remain if `losses` zones are lost, those with
+/// the most replicas first.
 fn remaining_reclaimable(losses: usize, supply: &ZoneSupply) -> u32 {
     let mut counts: Vec<u32> = supply.values().map(|zone| zone.reclaimable).collect();
     counts.sort_unstable();
--- a/lib/src/gateway/replica_scaler.rs
+++ b/lib/src/gateway/replica_scaler.rs
@@ -38,11 +38,11 @@
 /// The same for an entry that restarts later. The replicas' records are already in the
 /// store then, and other entries have sent their load several times.
 const FIRST_PLAN_AFTER_RESTART_AT: Timestamp = Timestamp::from_millis(1_200);
-/// The time after which an order without a visible effect is repeated. A replica takes
-/// four seconds to start, and some orders take effect late.
+/// The time after which an order without a visible effect is repeated. It is longer than
+/// the four seconds that a replica takes to start, since some orders take effect late.
 const REORDER_INTERVAL: Duration = Duration::from_secs(7);
-/// The same for a refused order. No replica can be had for 15 s then, and each second
-/// without one costs more than a call.
+/// The same for a refused order. No replicas are available then for 15 s, and each second
+/// without a replica costs more than another call.
 const REFUSED_REORDER_INTERVAL: Duration = Duration::from_millis(2_500);
 
 /// The last order for a service, a zone and a kind of replica.
@@ -129,8 +129,8 @@
         interval_over && now >= first_plan_at && context.backends.lock().confirmed_at().is_some()
     }
 
-    /// Returns whether this entry planned before, but not for a while. What its planners
-    /// would take for a sudden loss may have happened gradually in between.
+    /// Returns whether the last plan is older than [`STALE_PLAN_AGE`]. To the planners,
+    /// losses since then would look like a sudden loss even if they were gradual.
     fn is_stale(&self, now: Timestamp) -> bool {
         self.planned_at
             .is_some_and(|at| now.since(at) > STALE_PLAN_AGE)
@@ -211,9 +211,10 @@
     present.count() as u32
 }
 
-/// Measures the demand by the work that callers offer and by the requests that run.
-/// After a loss of replicas, the requests that run are bounded by the remaining
-/// replicas; entries of earlier versions do not send the offered work.
+/// Measures the demand. The busy slots are the larger of two numbers, the work that
+/// callers offer and the requests that run: after a loss of replicas, the requests that
+/// run are bounded by the remaining replicas, and entries of earlier versions do not send
+/// the offered work.
 fn measure_demand(context: &GatewayContext, service: &ServiceName, slots: u32) -> ReplicaDemand {
     let now = context.now();
     let (running, token_rate): (u32, f64) = {
--- a/lib/src/gateway/retry_budget.rs
+++ b/lib/src/gateway/retry_budget.rs
@@ -1,9 +1,9 @@
 //! Bounds how often requests are retried at another backend server.
 //!
 //! Pure logic: no I/O and no clock. Every entry earns retries in proportion to the
-//! requests that it accepts itself, and has an equal part of a reserve that all
-//! entries share. So the sum over all entries stays below the bound without
-//! coordination, even while entries are partitioned.
+//! requests that it accepts itself, and gets an equal part of a reserve for all entries.
+//! The retries of all entries thus stay below the bound without coordination, even during
+//! a network partition.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
--- a/lib/src/gateway/send_guard.rs
+++ b/lib/src/gateway/send_guard.rs
@@ -73,8 +73,8 @@
         self.started_at = self.context.now();
     }
 
-    /// Handles an interrupted response. A lost connection may be the sign of a
-    /// crash, which interrupts all responses of the server.
+    /// Handles an interrupted response. The cause may be a crash of the server, which
+    /// interrupts all of its responses.
     pub fn note_interrupted(&self, cause: &str) {
         let (context, backend) = (&self.context, self.backend());
         match cause {
--- a/lib/src/gateway/service_times.rs
+++ b/lib/src/gateway/service_times.rs
@@ -7,8 +7,9 @@
 
 use crate::gateway::prefill_speed::PrefillSpeed;
 
-/// The assumed time of a request at a backend server before any has finished: between
-/// plain requests, which take tens of milliseconds, and streams of some seconds.
+/// The assumed time of a request at a backend server before any has finished. It lies
+/// between plain requests, which take tens of milliseconds, and streams, which take some
+/// seconds.
 const PRIOR_TIME: Duration = Duration::from_millis(500);
 /// The weight of the newest request in the moving averages.
 const NEWEST_WEIGHT: f64 = 0.02;
--- a/lib/src/gateway/stall_detector.rs
+++ b/lib/src/gateway/stall_detector.rs
@@ -1,9 +1,9 @@
 //! Detects that a stream has stalled.
 //!
-//! Pure logic: no I/O and no clock. A replica whose VM vanished, or a connection whose
-//! route is broken, sends nothing more and closes nothing. Callers abandon a stalled
-//! stream after a while, so a stream that can resume at another backend server has to
-//! do so before.
+//! Pure logic: no I/O and no clock. If a replica's VM vanishes, or the network path of a
+//! connection fails, no more bytes arrive and the connection is not closed. Callers
+//! abandon a stalled stream after a while, so a stream that can resume at another backend
+//! server has to do so before.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 /// stream elsewhere costs another prefill.
 const STALL_FACTOR: u32 = 2;
 
-/// The pauses of one stream.
+/// Detects when one stream stalls, from the pauses in it.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
     is_enabled: bool,
@@ -63,7 +63,7 @@
         self.last_bytes_at = now;
     }
 
-    /// Detects no stall until bytes arrive again.
+    /// Suspends the detection until bytes arrive again.
     pub fn disarm(&mut self) {
         self.is_disarmed = true;
     }
--- a/lib/tests/test_backend_incarnations.rs
+++ b/lib/tests/test_backend_incarnations.rs
@@ -40,7 +40,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// Returns a set that has state of every kind for the first incarnation of `a`.
+/// Returns a set with state of every kind for the first incarnation of the server `a`.
 fn set_with_state() -> BackendSet {
     let mut set = BackendSet::new();
     let first = incarnation("a", 100);
@@ -59,7 +59,7 @@
     set
 }
 
-/// Shows the state that the set has for the server `a` at a time.
+/// Formats the state that the set has for the server `a` at the time `now`.
 fn shown_state(set: &BackendSet, now: Timestamp) -> String {
     let Some(backend) = set.iter().find(|b| b.record.id.name.0 == "a") else {
         return "not listed".to_owned();
--- a/lib/tests/test_gateway_backends.rs
+++ b/lib/tests/test_gateway_backends.rs
@@ -92,7 +92,8 @@
     let mut set = set_of(&["a"]);
     set.put(record("a", true));
     set.confirm(at(10_000));
-    // The other entry read this list before the own one was confirmed; it arrives after.
+    // The other entry read this list before the list here was confirmed, but it arrives
+    // afterwards.
     let changes = set.replace_if_newer(at(10_050), at(9_950), vec![record("a", false)]);
     assert_eq!(changes, []);
     assert!(!set.get(&id("a")).unwrap().accepts_requests());
@@ -120,11 +121,11 @@
     assert!(!set.get(&id("b")).unwrap().accepts_requests());
 }
 
-/// Returns the changes that `set` sends to an entry with that digest.
+/// Returns the changes that `set` sends to an entry whose list has the digest `digest`.
 fn changes_since(set: &BackendSet, digest: u64) -> ListChanges {
     match set.list_update(Some(digest)) {
         ListUpdate::Changes(changes) => changes,
-        other => panic!("no changes but {other:?}"),
+        other => panic!("expected changes, got {other:?}"),
     }
 }
 
@@ -190,9 +191,9 @@
 #[test]
 fn an_entry_with_an_unknown_list_gets_the_full_list() {
     let hub = set_of(&["a", "b"]);
-    let whole = ListUpdate::Full(hub.records());
-    assert_eq!(hub.list_update(Some(77)), whole);
-    assert_eq!(hub.list_update(None), whole);
+    let full = ListUpdate::Full(hub.records());
+    assert_eq!(hub.list_update(Some(77)), full);
+    assert_eq!(hub.list_update(None), full);
 }
 
 #[test]
@@ -314,8 +315,8 @@
     assert_eq!(chooser.choose(&set, at(1_300), &long), Some(home));
 }
 
-/// Hundreds of entries have the same gossip, 250 ms old, by which one of forty servers
-/// looks slightly less utilized than the others.
+/// Hundreds of entries have the same gossip, which is 250 ms old. According to it, one of
+/// forty servers is slightly less utilized than the others.
 #[test]
 fn entries_with_the_same_gossip_do_not_all_choose_the_same_server() {
     let chooser = Chooser::new();
@@ -335,7 +336,7 @@
     let most = chosen.values().max().copied().unwrap_or(0);
     assert!(
         chosen.len() == 40 && most < 40,
-        "{most} of 300 to one of {}",
+        "one of {} chosen servers got {most} of 300 requests",
         chosen.len()
     );
 }
--- a/lib/tests/test_gateway_duties.rs
+++ b/lib/tests/test_gateway_duties.rs
@@ -1,4 +1,5 @@
-//! The lease by the order of the log, the usage decisions, and the plan of replicas.
+//! The lease as decided by the order of the log, the usage decisions, and the plan of
+//! replicas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -151,7 +152,7 @@
     }
     let shown = zones
         .iter()
-        .map(|(zone, [r, f])| format!("{zone}: {r} + {f}"));
+        .map(|(zone, [reclaimable, on_demand])| format!("{zone}: {reclaimable} + {on_demand}"));
     shown.collect::<Vec<_>>().join(", ")
 }
 
@@ -267,7 +268,7 @@
     let present = supply([0, 0, 4, 4], [0; 4]);
     plan(&mut standby, 22_000, 2.0, &present);
     // The lease holder changes here. The next zone may be lost while the ordered
-    // on-demand replicas still start.
+    // on-demand replicas are still starting.
     let mut new_planner = ReplicaPlanner::new(&scale_rule(), &present, false);
     let by_standby = plan(&mut standby, 23_000, 2.0, &present);
     let by_new = plan(&mut new_planner, 23_000, 2.0, &present);
--- a/lib/tests/test_shedding.rs
+++ b/lib/tests/test_shedding.rs
@@ -1,5 +1,5 @@
-//! The load pattern of full replicas. The load is up to twice the capacity, and hundreds of
-//! entries know the queue as it was 250 ms ago.
+//! The load pattern of full replicas. The load is up to twice the capacity, and hundreds
+//! of entries decide on the basis of the queue 250 ms ago.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -41,9 +41,9 @@
 /// How long a request occupies a slot, in milliseconds.
 const SLOT_TIME_MS: u64 = 900;
 
-/// Simulates replicas with 264 slots in total at `load` times their capacity. Entries know
-/// the queue as it was 250 ms ago. Returns for each kind the percentages of requests in
-/// time, late and shed.
+/// Simulates replicas with 264 slots in total at `load` times their capacity. Entries see
+/// the queue with a delay of 250 ms. Returns for each kind the percentages of requests
+/// that were in time, late, and shed.
 fn simulate_queue(load: f64, sheds: bool, seed: u64) -> [[u32; 3]; 3] {
     const SLOTS: usize = 264;
     let mut rng = StdRng::seed_from_u64(seed);
--- a/lib/tests/test_stall_detector.rs
+++ b/lib/tests/test_stall_detector.rs
@@ -44,10 +44,11 @@
     detector.note_bytes(after(500));
     detector.note_bytes(after(520));
     assert_eq!(stalled_after(detector, start), Some(520 + 800));
-    // At another backend server the detection begins anew.
+    // After the stream resumes at another backend server, the detection starts over.
     detector.note_resumed(after(2_000));
     assert_eq!(stalled_after(detector, start), Some(2_000 + 1_200));
-    // A stream that cannot resume elsewhere is not stalled until bytes arrive again.
+    // If it turns out that the stream cannot resume elsewhere, it does not count as
+    // stalled until bytes arrive again.
     detector.disarm();
     assert_eq!(stalled_after(detector, start), None);
     detector.note_bytes(after(2_500));
--- a/lib/tests/test_sudden_loss.rs
+++ b/lib/tests/test_sudden_loss.rs
@@ -1,6 +1,6 @@
 //! The load pattern of a sudden loss. One of four zones loses its reclaimable replicas,
 //! ten seconds later two zones lose theirs within a second, and six seconds after that
-//! the last one. No reclaimable replicas can be had for a while.
+//! the last one. No reclaimable replicas are available for a while after each loss.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const STARTUP_S: u64 = 4;
 /// Seconds from the reclaim notice until the replicas stop.
 const NOTICE_S: u64 = 2;
-/// Seconds after a reclaim in which no reclaimable replica can be had.
+/// Seconds after a reclaim in which no reclaimable replicas are available.
 const UNAVAILABLE_S: u64 = 13;
 
 fn scale_rule() -> ScaleRule {
@@ -42,16 +42,18 @@
     planner: ReplicaPlanner,
     /// The replicas that serve, by zone: reclaimable and on-demand ones.
     serving: BTreeMap<&'static str, [u32; 2]>,
-    /// The replicas that serve on after a reclaim notice: until when, and how many.
+    /// The replicas that still serve after a reclaim notice: until which second, and how
+    /// many.
     draining: Vec<(u64, u32)>,
-    /// The orders: when the replicas serve, the zone, the kind, the total count.
+    /// The orders: the second from which the replicas serve, the zone, the kind (0 for
+    /// reclaimable, 1 for on-demand), and the total count.
     ordered: Vec<(u64, &'static str, usize, u32)>,
     unavailable_until: u64,
 }
 
 impl ReplicaModel {
-    fn new(each: u32) -> Self {
-        let serving: BTreeMap<_, _> = ZONES.iter().map(|zone| (*zone, [each, 0])).collect();
+    fn new(per_zone: u32) -> Self {
+        let serving: BTreeMap<_, _> = ZONES.iter().map(|zone| (*zone, [per_zone, 0])).collect();
         let planner = ReplicaPlanner::new(&scale_rule(), &supply_of(&serving), false);
         Self {
             planner,
@@ -150,12 +152,12 @@
             shown += &format!("{second} s: {serving} serve, {on_demand} on demand\n");
         }
     }
-    shown += &format!("missing {missing} and on-demand {on_demand_total} replica seconds");
+    shown += &format!("replica seconds: {missing} missing, {on_demand_total} on demand");
     insta::assert_snapshot!(shown);
 }
 
-/// Replicas that start in one zone are not ordered again in a cheaper zone that has got
-/// room meanwhile. Otherwise both would start.
+/// Replicas that start in one zone are not ordered again in a cheaper zone that gets room
+/// in the meantime. Otherwise replicas would start in both zones.
 #[test]
 fn starting_replicas_are_not_ordered_again_in_other_zones() {
     let serving = |in_a: u32, in_d: u32| {
