--- a/lib/src/gateway/config_follower.rs
+++ b/lib/src/gateway/config_follower.rs
@@ -1,9 +1,8 @@
-//! Which configuration is in force, and how old that knowledge is.
+//! The configuration in force, and when it was last confirmed as the newest.
 //!
-//! Pure. Only higher revisions are ever adopted. The knowledge that the
-//! adopted one is the newest ages from the moment at which the question was
-//! asked that the store answered, never from the answer's arrival: a process
-//! may be frozen in between.
+//! Pure. Only higher revisions are ever adopted. A confirmation by the store
+//! counts from the time at which the request was sent, not from the arrival of
+//! the response, since the process may be suspended in between.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,37 +17,39 @@
 use crate::id::RevisionNumber;
 use crate::quantity::Timestamp;
 
-/// Follows the configuration forwards.
+/// Tracks the newest configuration and caches its document for other entries.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFollower {
     adopted: Option<Arc<SiteConfig>>,
-    shelf: DocumentCache,
+    cache: DocumentCache,
     confirmed_at: Option<Timestamp>,
     log_end: Option<LogOffset>,
-    /// Where the log goes on after a document that cannot be used, if it is the
-    /// newest one that is known.
+    /// The log offset after the newest known document, if that is unusable.
     unusable_end: Option<LogOffset>,
 }
 
 impl ConfigFollower {
-    /// Returns a follower that knows nothing.
+    /// Returns a follower without a configuration.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the configuration in force as far as this entry knows.
+    /// Returns the adopted configuration, the newest usable one that this entry has
+    /// received.
     pub fn adopted(&self) -> Option<&Arc<SiteConfig>> {
         self.adopted.as_ref()
     }
 
     /// Returns the adopted revision; 0 if there is none.
     pub fn revision(&self) -> RevisionNumber {
-        let none = RevisionNumber(0);
-        self.adopted.as_ref().map_or(none, |config| config.revision)
+        let no_revision = RevisionNumber(0);
+        self.adopted
+            .as_ref()
+            .map_or(no_revision, |config| config.revision)
     }
 
-    /// Offers a configuration; returns whether it was adopted. `log_end` is
-    /// where the log goes on after it, if known.
+    /// Adopts a configuration if its revision is higher; returns whether it was
+    /// adopted. `log_end` is the offset of the next log record, if known.
     pub fn offer(
         &mut self,
         now: Timestamp,
@@ -59,73 +60,73 @@
         if config.revision <= self.revision() {
             return false;
         }
-        let kept = CachedDocument {
+        let cached = CachedDocument {
             revision: config.revision,
             document,
             log_end,
         };
-        self.shelf.put(now, kept);
+        self.cache.put(now, cached);
         self.adopted = Some(Arc::new(config));
         self.log_end = self.log_end.max(log_end);
         self.unusable_end = self.unusable_end.filter(|end| Some(*end) > log_end);
         true
     }
 
-    /// Notes that the log has a document that cannot be used, and goes on at
-    /// `end` after it. What is adopted is not the newest then, until a later one
-    /// is.
+    /// Records an unusable document in the log, after which the log continues at
+    /// `end`. The adopted configuration no longer counts as the newest until a later
+    /// document is adopted.
     pub fn note_unusable(&mut self, end: LogOffset) {
         self.note_read(end);
         self.unusable_end = self.unusable_end.max(Some(end));
     }
 
-    /// Returns the part of a document that another entry asks for.
-    pub fn answer(&mut self, now: Timestamp, pull: &DocumentPull) -> Option<DocumentPart> {
-        self.shelf.part_for(now, pull)
+    /// Returns the part of a document that another entry pulls.
+    pub fn part_for(&mut self, now: Timestamp, pull: &DocumentPull) -> Option<DocumentPart> {
+        self.cache.part_for(now, pull)
     }
 
-    /// Lets go of documents that nobody asks for any more.
+    /// Drops documents that are no longer pulled.
     pub fn drop_unrequested(&mut self, now: Timestamp) {
-        self.shelf.drop_unasked(now);
+        self.cache.drop_unrequested(now);
     }
 
-    /// Returns the bytes of the documents kept.
+    /// Returns the number of bytes of the cached documents.
     pub fn cached_bytes(&self) -> usize {
-        self.shelf.kept_bytes()
+        self.cache.cached_bytes()
     }
 
-    /// Returns from where the log is to be read; none if the newest record is
-    /// to be asked for. What came from other entries is not read again.
+    /// Returns the offset at which to read the log next, after everything that came
+    /// from other entries. None if the newest record must be read first.
     pub fn log_end(&self) -> Option<LogOffset> {
         self.log_end
     }
 
-    /// Notes that the log was read up to `end`.
+    /// Records that the log was read up to `end`.
     pub fn note_read(&mut self, end: LogOffset) {
         self.log_end = self.log_end.max(Some(end));
     }
 
-    /// Notes that the log no longer has the records that would come next.
+    /// Resets the read offset, because the log no longer has the next records.
     pub fn reset_log_end(&mut self) {
         self.log_end = None;
     }
 
-    /// Notes that no revision above `newest` existed at `asked_at`. It counts
-    /// only if this entry has adopted that revision.
-    pub fn confirm(&mut self, newest: RevisionNumber, asked_at: Timestamp) {
+    /// Records that no revision above `newest` existed at `requested_at`. This
+    /// confirms the adopted configuration only if it is that revision.
+    pub fn confirm(&mut self, newest: RevisionNumber, requested_at: Timestamp) {
         let is_newest = newest <= self.revision() && self.unusable_end.is_none();
         if !is_newest || self.adopted.is_none() {
             return;
         }
-        self.confirmed_at = self.confirmed_at.max(Some(asked_at));
+        self.confirmed_at = self.confirmed_at.max(Some(requested_at));
     }
 
-    /// Returns when the adopted revision was last known to be the newest.
+    /// Returns when the adopted revision was last confirmed as the newest.
     pub fn confirmed_at(&self) -> Option<Timestamp> {
         self.confirmed_at
     }
 
-    /// Returns the age of the knowledge, if there is any.
+    /// Returns the time since the last confirmation, if there was one.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.confirmed_at.map(|at| now.since(at))
     }
--- a/lib/src/gateway/document_parts.rs
+++ b/lib/src/gateway/document_parts.rs
@@ -1,5 +1,5 @@
-//! Messages by which an entry asks another for the configuration, as `prost`
-//! frames: it asks for one part at a time.
+//! Messages with which an entry pulls the configuration document from another,
+//! one part at a time, and their `prost` frames.
 
 use std::net::SocketAddr;
 
@@ -10,40 +10,42 @@
 use crate::id::RevisionNumber;
 use crate::wire_error::WireError;
 
-/// The most bytes of a packed document in one part: 26 ms on 10 Mbit/s, so that
-/// news never wait long behind it.
+/// The most bytes of a packed document in one part. A part takes 26 ms on a link
+/// of 10 Mbit/s, so gossip never waits long behind it.
 pub const PART_BYTES: usize = 32 * 1024;
 
 /// Asks for a part of a packed document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DocumentPull {
-    /// Where to answer.
+    /// The address to which the part is sent.
     pub reply_to: SocketAddr,
-    /// The revision that is wanted; if it is no longer kept, a newer one.
+    /// The wanted revision. If it is no longer cached, the sender answers with a
+    /// newer one.
     pub revision: RevisionNumber,
-    /// Where the part begins, in bytes.
+    /// The offset of the part in the packed document, in bytes.
     pub from: u64,
 }
 
 /// A part of a packed document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocumentPart {
-    /// The revision.
+    /// The revision of the document.
     pub revision: RevisionNumber,
     /// The length of the whole packed document, in bytes.
     pub length: u64,
     /// The digest of the whole packed document.
     pub digest: u64,
-    /// Where the part begins, in bytes.
+    /// The offset of the part in the packed document, in bytes.
     pub from: u64,
-    /// The part.
+    /// The bytes of the part.
     pub bytes: Bytes,
-    /// Where the log of the store goes on after this revision, if known.
+    /// The offset of the record after this revision in the log of the store, if
+    /// known.
     pub log_end: Option<LogOffset>,
 }
 
 impl DocumentPart {
-    /// Returns whether the document ends with this part.
+    /// Returns whether this is the last part of the document.
     pub fn is_last(&self) -> bool {
         self.from + self.bytes.len() as u64 >= self.length
     }
--- a/lib/src/gateway/document_transfer.rs
+++ b/lib/src/gateway/document_transfer.rs
@@ -1,10 +1,10 @@
-//! How an entry that is behind gets the configuration from others.
+//! How an entry with an old revision gets the configuration from other entries.
 //!
-//! Pure. The receiver asks, for one part of one document from one entry at a
-//! time: what it holds and what is on its way to it are bounded, however many
-//! entries are ahead of it, and a sender holds no more than the parts that were
-//! asked for. An entry that does not answer is passed over for the next one,
-//! which goes on where the document was left off.
+//! Pure. The receiver pulls one part of one document from one source at a time.
+//! This bounds what the receiver buffers and what is in flight to it, however
+//! many entries have a newer revision, and a sender buffers only the parts that
+//! were pulled. If a source does not answer, the receiver continues the document
+//! from the next source.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,41 +21,41 @@
 use crate::id::RevisionNumber;
 use crate::quantity::Timestamp;
 
-/// How long an answer may take before another entry is asked. A hub of 200
-/// Mbit/s that a hundred entries ask at once sends each of them a part within
-/// 140 ms.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long nobody is asked after a document that cannot be used, so that a
-/// damaged one is not fetched over and over.
-const UNUSABLE_PAUSE: Duration = Duration::from_secs(2);
-/// The longest packed document: deflate adds some bytes to each 64 KB of what
-/// cannot be compressed.
+/// How long a source may take to answer before the next one is asked. A hub with
+/// 200 Mbit/s sends a part to each of a hundred entries within 140 ms.
+const PULL_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long no source is asked again for an unusable revision, so that a damaged
+/// document is not fetched continuously.
+const UNUSABLE_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// The longest packed document, in bytes. Deflate adds a few bytes to each 64 KB
+/// of incompressible data.
 const MAX_PACKED_BYTES: usize = MAX_DOCUMENT_BYTES + MAX_DOCUMENT_BYTES / 1_024 + 1_024;
-/// How long a document that was just asked for is kept when a newer one comes,
-/// so that entries finish what they began however often it changes. It covers
-/// an answer's time-out and the next question.
-const KEPT_FOR: Duration = Duration::from_millis(1_500);
+/// How long a replaced document stays cached after the last pull of it, so that
+/// entries can finish it however often the configuration changes. It covers the
+/// timeout of a pull and the next pull.
+const OLDER_RETENTION: Duration = Duration::from_millis(1_500);
 
-/// An entry that has a newer revision.
+/// An entry from which a newer revision can be pulled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DocumentSource {
-    /// Where it listens for other entries.
+    /// The address at which it accepts connections of other entries.
     pub address: SocketAddr,
     /// Its revision.
     pub revision: RevisionNumber,
 }
 
-/// A whole document that arrived.
+/// A completely received document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedDocument {
-    /// The revision that its sender gave.
+    /// The revision, as its sender stated it.
     pub revision: RevisionNumber,
     /// The document.
     pub document: PackedDocument,
-    /// Where the log of the store goes on after it, if known.
+    /// The offset of the next record in the log of the store, if known.
     pub log_end: Option<LogOffset>,
 }
 
+/// The parts of a document received so far.
 #[derive(Clone, Debug)]
 struct PartialDocument {
     revision: RevisionNumber,
@@ -66,7 +66,7 @@
 }
 
 impl PartialDocument {
-    fn begin(part: &DocumentPart, length: usize) -> Self {
+    fn from_first_part(part: &DocumentPart, length: usize) -> Self {
         Self {
             revision: part.revision,
             digest: part.digest,
@@ -76,30 +76,32 @@
         }
     }
 
-    fn is_of(&self, part: &DocumentPart) -> bool {
+    fn matches(&self, part: &DocumentPart) -> bool {
         self.revision == part.revision && self.digest == part.digest
     }
 }
 
-/// The receiving side.
+/// The receiving side: fetches a document part by part.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentFetcher {
     source: Option<SocketAddr>,
-    asked_at: Option<Timestamp>,
+    /// When the pending pull was sent.
+    pulled_at: Option<Timestamp>,
     partial: Option<PartialDocument>,
     failures: usize,
+    /// The last unusable revision, and when it was found to be unusable.
     unusable: Option<(RevisionNumber, Timestamp)>,
 }
 
 impl DocumentFetcher {
-    /// Returns a transfer that has not begun.
+    /// Returns a fetcher that has not begun.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the question that is due, if any. `sources` are the entries that
-    /// are ahead, the one to be asked first in front; `address` is where this
-    /// entry listens.
+    /// Returns the pull to send now, if any, and its receiver. `sources` are the
+    /// entries with a newer revision, in the order in which to ask them; `address`
+    /// is the address of this entry.
     pub fn next_pull(
         &mut self,
         now: Timestamp,
@@ -107,7 +109,7 @@
         sources: &[DocumentSource],
     ) -> Option<(SocketAddr, DocumentPull)> {
         if sources.is_empty() {
-            // Nobody is ahead any more: what came in parts is of no use.
+            // No entry has a newer revision any more, so the parts are useless.
             *self = Self::default();
             return None;
         }
@@ -119,15 +121,15 @@
         if sources.is_empty() {
             return None;
         }
-        if let Some(asked_at) = self.asked_at {
-            if now.since(asked_at) < ANSWER_TIMEOUT {
+        if let Some(pulled_at) = self.pulled_at {
+            if now.since(pulled_at) < PULL_TIMEOUT {
                 return None;
             }
-            self.give_up_source(sources.len());
+            self.abandon_source(sources.len());
         }
-        let source = self.choose(&sources);
+        let source = self.choose_source(&sources);
         self.source = Some(source.address);
-        self.asked_at = Some(now);
+        self.pulled_at = Some(now);
         let (revision, from) = match &self.partial {
             Some(partial) => (partial.revision, partial.bytes.len() as u64),
             None => (source.revision, 0),
@@ -140,70 +142,69 @@
         Some((source.address, pull))
     }
 
-    /// Stays with the entry that answers: it keeps the document that it was
-    /// asked for, which others may have replaced by a newer one.
-    fn choose(&self, sources: &[DocumentSource]) -> DocumentSource {
+    /// Chooses the same source again while it answers: it caches the document that
+    /// was pulled, which others may have replaced by a newer one.
+    fn choose_source(&self, sources: &[DocumentSource]) -> DocumentSource {
         let same = |source: &&DocumentSource| Some(source.address) == self.source;
-        let other = &sources[self.failures % sources.len()];
-        *sources.iter().find(same).unwrap_or(other)
+        let next = &sources[self.failures % sources.len()];
+        *sources.iter().find(same).unwrap_or(next)
     }
 
-    /// Leaves the entry that did not answer. What came of a document that no
-    /// entry goes on with is dropped after all were asked: others may have it in
-    /// another packed form.
-    fn give_up_source(&mut self, sources: usize) {
+    /// Abandons the source that did not answer. If no source continues the
+    /// document, its parts are dropped after all were asked: the sources may have
+    /// it in another packed form.
+    fn abandon_source(&mut self, source_count: usize) {
         self.failures += 1;
         self.source = None;
-        if self.failures.is_multiple_of(sources.max(1) + 1) {
+        if self.failures.is_multiple_of(source_count.max(1) + 1) {
             self.partial = None;
         }
     }
 
     fn is_usable(&self, now: Timestamp, revision: RevisionNumber) -> bool {
-        self.unusable.is_none_or(|(unusable, noted_at)| {
-            revision > unusable || now.since(noted_at) >= UNUSABLE_PAUSE
+        self.unusable.is_none_or(|(unusable, rejected_at)| {
+            revision > unusable || now.since(rejected_at) >= UNUSABLE_RETRY_DELAY
         })
     }
 
-    /// Notes that the document of a revision cannot be used as it arrived. It is
-    /// not asked for again for a while, and then at another entry.
+    /// Records that the received document of a revision is unusable. It is pulled
+    /// again after a delay, from another source.
     pub fn note_unusable(&mut self, now: Timestamp, revision: RevisionNumber) {
         self.failures += 1;
         self.source = None;
         self.unusable = Some((revision, now));
     }
 
-    /// Returns how often another entry had to be asked since the last whole
-    /// document.
+    /// Returns how often a source failed since the last complete document.
     pub fn failures(&self) -> usize {
         self.failures
     }
 
-    /// Returns the bytes of the document that have arrived.
+    /// Returns the number of buffered bytes of an incomplete document.
     pub fn buffered_bytes(&self) -> usize {
         self.partial
             .as_ref()
             .map_or(0, |partial| partial.bytes.len())
     }
 
-    /// Takes a part over. Returns the document once it is whole. `own` is the
-    /// revision that this entry has; parts of others that are no newer, and
-    /// parts that do not continue what is there, change nothing.
+    /// Adds a part. Returns the document once it is complete. Parts of revisions
+    /// up to `own_revision`, the one of this entry, and parts that do not continue
+    /// the buffered ones change nothing.
     pub fn take_part(
         &mut self,
-        own: RevisionNumber,
+        own_revision: RevisionNumber,
         part: &DocumentPart,
     ) -> Option<ReceivedDocument> {
         let length = usize::try_from(part.length).ok()?;
-        if part.revision <= own || length > MAX_PACKED_BYTES || part.bytes.is_empty() {
+        if part.revision <= own_revision || length > MAX_PACKED_BYTES || part.bytes.is_empty() {
             return None;
         }
-        if !self.fits(part) {
+        if !self.accepts(part) {
             return None;
         }
-        self.asked_at = None;
-        let known = self.partial.take().filter(|partial| partial.is_of(part));
-        let mut partial = known.unwrap_or_else(|| PartialDocument::begin(part, length));
+        self.pulled_at = None;
+        let partial = self.partial.take().filter(|partial| partial.matches(part));
+        let mut partial = partial.unwrap_or_else(|| PartialDocument::from_first_part(part, length));
         partial.bytes.extend_from_slice(&part.bytes);
         if partial.bytes.len() < partial.length {
             self.partial = Some(partial);
@@ -222,67 +223,70 @@
         })
     }
 
-    /// Returns whether a part goes on with what is there, or begins a newer
-    /// document. One that was packed otherwise is begun anew.
-    fn fits(&mut self, part: &DocumentPart) -> bool {
+    /// Returns whether a part continues the buffered ones or begins a newer
+    /// document. If the same revision comes in another packed form, the buffered
+    /// parts are dropped.
+    fn accepts(&mut self, part: &DocumentPart) -> bool {
         let Some(partial) = &self.partial else {
             return part.from == 0;
         };
-        if partial.is_of(part) {
-            let there = partial.bytes.len();
-            let room = partial.length.saturating_sub(there);
-            return part.from == there as u64 && part.bytes.len() <= room;
+        if partial.matches(part) {
+            let received = partial.bytes.len();
+            let remaining = partial.length.saturating_sub(received);
+            return part.from == received as u64 && part.bytes.len() <= remaining;
         }
         if partial.revision == part.revision {
             self.partial = None;
-            self.asked_at = None;
+            self.pulled_at = None;
             return part.from == 0;
         }
         part.revision > partial.revision && part.from == 0
     }
 }
 
-/// A document that may be asked for.
+/// A document that other entries may pull.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CachedDocument {
     /// Its revision.
     pub revision: RevisionNumber,
     /// The document.
     pub document: PackedDocument,
-    /// Where the log of the store goes on after it, if known.
+    /// The offset of the next record in the log of the store, if known.
     pub log_end: Option<LogOffset>,
 }
 
-/// The sending side: the newest document, and at most one older one that an
-/// entry was asking for when the newest came.
+/// The sending side: the newest document, and at most one older document that an
+/// entry was pulling when the newest one came.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentCache {
     newest: Option<CachedDocument>,
-    asked_at: Option<Timestamp>,
+    /// When a part of the newest document was last pulled.
+    requested_at: Option<Timestamp>,
+    /// The older document, and when a part of it was last pulled.
     older: Option<(CachedDocument, Timestamp)>,
 }
 
 impl DocumentCache {
-    /// Returns a shelf without documents.
+    /// Returns an empty cache.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Puts the newest document in front.
-    pub fn put(&mut self, now: Timestamp, kept: CachedDocument) {
-        self.drop_unasked(now);
-        let before = self.newest.replace(kept);
-        let asked_at = self.asked_at.take();
-        let recent = asked_at.filter(|at| now.since(*at) < KEPT_FOR);
+    /// Adds the newest document.
+    pub fn put(&mut self, now: Timestamp, cached: CachedDocument) {
+        self.drop_unrequested(now);
+        let replaced = self.newest.replace(cached);
+        let requested_at = self.requested_at.take();
+        let recent = requested_at.filter(|at| now.since(*at) < OLDER_RETENTION);
         if self.older.is_none() {
-            self.older = before.zip(recent);
+            self.older = replaced.zip(recent);
         }
     }
 
-    /// Drops the older document once nobody asks for it any more.
-    pub fn drop_unasked(&mut self, now: Timestamp) {
+    /// Drops the older document once it is no longer pulled.
+    pub fn drop_unrequested(&mut self, now: Timestamp) {
         self.older
-            .take_if(|(_, asked_at)| now.since(*asked_at) >= KEPT_FOR);
+            .take_if(|(_, requested_at)| now.since(*requested_at) >= OLDER_RETENTION);
     }
 
     /// Returns the newest document.
@@ -290,27 +294,27 @@
         self.newest.as_ref()
     }
 
-    /// Returns the bytes of all documents kept.
-    pub fn kept_bytes(&self) -> usize {
-        let older = self.older.iter().map(|(kept, _)| kept);
-        let kept = self.newest.iter().chain(older);
-        kept.map(|kept| kept.document.bytes().len()).sum()
+    /// Returns the number of bytes of all cached documents.
+    pub fn cached_bytes(&self) -> usize {
+        let older = self.older.iter().map(|(cached, _)| cached);
+        let cached = self.newest.iter().chain(older);
+        cached.map(|cached| cached.document.bytes().len()).sum()
     }
 
-    /// Returns the part that answers a question; nothing if this entry is not
-    /// ahead of whoever asks.
+    /// Returns the part that a pull asks for; none if the newest document is older
+    /// than the requested revision.
     pub fn part_for(&mut self, now: Timestamp, pull: &DocumentPull) -> Option<DocumentPart> {
-        if let Some((kept, asked_at)) = &mut self.older
-            && kept.revision == pull.revision
+        if let Some((cached, requested_at)) = &mut self.older
+            && cached.revision == pull.revision
         {
-            *asked_at = now;
-            return part_of(kept, pull.from);
+            *requested_at = now;
+            return part_of(cached, pull.from);
         }
         let newest = self.newest.as_ref()?;
         if newest.revision < pull.revision {
             return None;
         }
-        self.asked_at = Some(now);
+        self.requested_at = Some(now);
         let from = if newest.revision == pull.revision {
             pull.from
         } else {
@@ -320,16 +324,16 @@
     }
 }
 
-fn part_of(kept: &CachedDocument, from: u64) -> Option<DocumentPart> {
-    let bytes = kept.document.bytes();
+fn part_of(cached: &CachedDocument, from: u64) -> Option<DocumentPart> {
+    let bytes = cached.document.bytes();
     let begin = usize::try_from(from).ok().filter(|at| *at < bytes.len())?;
     let end = bytes.len().min(begin + PART_BYTES);
     Some(DocumentPart {
-        revision: kept.revision,
+        revision: cached.revision,
         length: bytes.len() as u64,
-        digest: kept.document.digest(),
+        digest: cached.document.digest(),
         from,
         bytes: Bytes::copy_from_slice(&bytes[begin..end]),
-        log_end: kept.log_end,
+        log_end: cached.log_end,
     })
 }
--- a/lib/src/gateway/gossip_task.rs
+++ b/lib/src/gateway/gossip_task.rs
@@ -290,7 +290,7 @@
 
 /// Answers an entry that asks for a part of the configuration.
 pub fn answer_pull(context: &GatewayContext, pull: &DocumentPull) {
-    let answer = context.config.lock().answer(context.now(), pull);
+    let answer = context.config.lock().part_for(context.now(), pull);
     let Some(part) = answer else {
         return;
     };
--- a/lib/src/gateway/packed_document.rs
+++ b/lib/src/gateway/packed_document.rs
@@ -1,8 +1,8 @@
-//! A configuration's document in the form in which entries keep it and pass it
-//! on: compressed, with a digest that is the same at all of them.
+//! The configuration document in the form in which entries cache it and send it
+//! to each other: compressed, with a digest of the compressed bytes.
 //!
-//! Routes are much alike: a document of 2,852 routes shrinks from 571 KB to
-//! 44 KB, which 10 Mbit/s carry in 35 ms.
+//! Compression pays off because routes are very similar: a document of 2,852
+//! routes shrinks from 571 KB to 44 KB, which takes 35 ms on 10 Mbit/s.
 
 use std::fmt;
 use std::io::Read;
@@ -14,17 +14,17 @@
 use flate2::write::DeflateEncoder;
 use twox_hash::XxHash64;
 
-/// The longest document, in bytes: about 30,000 routes. An entry that reads one
-/// of 7.9 MB from the store has 51 MB at its peak (`cloverbend-spread`, four
-/// revisions), a third of the memory of the smallest VM.
+/// The longest document, in bytes: about 30,000 routes. It bounds the peak memory
+/// of an entry that reads a document from the store: 51 MB at 7.9 MB, a third of
+/// the memory of the smallest VM.
 pub const MAX_DOCUMENT_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a document is not read.
+/// Why a document was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DocumentError {
     /// It is longer than [`MAX_DOCUMENT_BYTES`].
     TooLong,
-    /// It could not be packed or unpacked.
+    /// It cannot be packed or unpacked.
     Damaged(String),
 }
 
@@ -51,13 +51,13 @@
     ///
     /// # Errors
     ///
-    /// A document that is too long.
+    /// Fails if the document is too long.
     pub fn pack(document: &[u8]) -> Result<Self, DocumentError> {
         if document.len() > MAX_DOCUMENT_BYTES {
             return Err(DocumentError::TooLong);
         }
-        // The fastest level: the gain of the next ones is small, and a VM may
-        // have an eighth of a core.
+        // The fastest level, since a VM may have only an eighth of a core. Higher
+        // levels compress little better.
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         let written = encoder.write_all(document).and_then(|()| encoder.finish());
         let mut packed = written.map_err(|error| DocumentError::Damaged(error.to_string()))?;
@@ -65,7 +65,7 @@
         Ok(Self::from_packed(packed.into()))
     }
 
-    /// Takes over bytes that were packed elsewhere.
+    /// Wraps bytes that were packed by another entry.
     pub fn from_packed(bytes: Bytes) -> Self {
         let digest = XxHash64::oneshot(0, &bytes);
         Self { bytes, digest }
@@ -75,12 +75,12 @@
     ///
     /// # Errors
     ///
-    /// Bytes that are damaged, or a document that is too long.
+    /// Fails if the bytes are damaged or the document is too long.
     pub fn unpack(&self) -> Result<Vec<u8>, DocumentError> {
         let mut document = Vec::new();
-        let longest = MAX_DOCUMENT_BYTES as u64 + 1;
+        let read_limit = MAX_DOCUMENT_BYTES as u64 + 1;
         let read = DeflateDecoder::new(&self.bytes[..])
-            .take(longest)
+            .take(read_limit)
             .read_to_end(&mut document);
         read.map_err(|error| DocumentError::Damaged(error.to_string()))?;
         if document.len() > MAX_DOCUMENT_BYTES {
--- a/lib/src/gateway/site_config.rs
+++ b/lib/src/gateway/site_config.rs
@@ -1,4 +1,4 @@
-//! The configuration that an operator publishes, with its look-ups.
+//! The configuration that an operator publishes, with lookups in it.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,13 +15,13 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// At most once for each try of a caller.
+    /// At most once for each attempt of a caller.
     AtMostOnce,
     /// Any number of times.
     Idempotent,
 }
 
-/// A service that a route leads to, and its share of the route's requests.
+/// A service to which a route forwards, and its share of the requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
     /// The service.
@@ -30,39 +30,39 @@
     pub weight: u32,
 }
 
-/// A route: which requests it takes, and how they are to be served.
+/// A route: which requests match it, and how they are served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRule {
     /// The route's name.
     pub name: String,
-    /// The host that requests must name.
+    /// The host that a request must name.
     pub host: String,
-    /// What the path must begin with.
+    /// The prefix that the path of a request must have.
     pub prefix: String,
-    /// Where requests go.
+    /// The services to which requests are forwarded.
     pub targets: Vec<RouteTarget>,
-    /// Whether requests may be repeated.
+    /// Whether a request may run more than once.
     pub repeat: RepeatRule,
-    /// Whether the answer is a series of events.
+    /// Whether the response is a stream of events.
     pub streaming: bool,
-    /// Whether a stream may go on at another backend server.
+    /// Whether another backend server can resume a stream.
     pub resumable: bool,
-    /// The longest time that the operator wants a request held.
+    /// The longest time that a request may take.
     pub timeout: Duration,
-    /// The time within which an answer has its full value.
+    /// The latency up to which a response has its full value.
     pub target_latency: Duration,
-    /// The longest pause between events with which a stream has its full value.
+    /// The pause between events up to which a stream has its full value.
     pub target_pause: Duration,
-    /// The most backend servers that one try may run on.
+    /// The most backend servers to which one request may be sent.
     pub max_attempts: u32,
-    /// The urgency, 0 the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether no key is needed.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
 impl RouteRule {
-    /// Returns whether a request may run a second time.
+    /// Returns whether a request may be sent a second time.
     pub fn may_repeat(&self) -> bool {
         match self.repeat {
             RepeatRule::Idempotent => true,
@@ -70,42 +70,42 @@
         }
     }
 
-    /// Chooses a target by a number that is the same for all tries of a call.
+    /// Chooses a target by a number that is the same for all attempts of a call.
     pub fn target(&self, number: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
-        let mut left = number.checked_rem(total)?;
+        let mut remaining = number.checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// How replicas of a service may be ordered.
+/// How many replicas of a service may be ordered, and at which price.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleRule {
     /// The fewest replicas in each zone.
     pub min: u32,
     /// The most replicas in each zone.
     pub max: u32,
-    /// How long a new replica takes to serve.
+    /// How long a new replica takes until it serves requests.
     pub startup: Duration,
-    /// The price of a reclaimable replica relative to another.
+    /// The price of a reclaimable replica relative to an on-demand one.
     pub reclaimable_price: f64,
     /// The relative price of a replica in each zone.
     pub zone_prices: BTreeMap<ZoneName, f64>,
 }
 
-/// What a service's model replicas can hold.
+/// The capacity of a model replica of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRule {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Tokens that the memory holds.
+    /// Tokens that fit into the KV cache.
     pub kv_capacity_tokens: u64,
 }
 
@@ -114,31 +114,31 @@
 pub struct ServiceRule {
     /// The service's name.
     pub name: ServiceName,
-    /// Connections that one backend server accepts from all callers.
+    /// Connections that one backend server accepts in total.
     pub max_connections: u32,
-    /// Model replicas, if the service has them.
+    /// The capacity of a model replica, if the service runs a model.
     pub engine: Option<EngineRule>,
-    /// Whether and how replicas may be ordered.
+    /// How replicas may be ordered; none if they may not.
     pub scale: Option<ScaleRule>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on the size of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The longest head, in bytes.
+    /// The longest request head, in bytes.
     pub head_bytes: usize,
-    /// The longest body, in bytes.
+    /// The longest request body, in bytes.
     pub body_bytes: usize,
 }
 
-/// What an account's limits count.
+/// The unit in which the limits of an account are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitUnit {
     /// Requests.
     Requests,
-    /// Tokens of prompt and generation together.
+    /// Tokens of the prompt and of the generated text together.
     Tokens {
-        /// What a request counts that states no tokens.
+        /// The tokens counted for a request that states none.
         default_tokens: u64,
     },
 }
@@ -148,18 +148,18 @@
 pub struct AccountRule {
     /// The account's name.
     pub name: AccountName,
-    /// The urgency of its requests, which goes before that of the route.
+    /// The priority of its requests, which overrides that of the route.
     pub priority: Option<u8>,
-    /// What its limits count.
+    /// The unit of its limits.
     pub unit: LimitUnit,
-    /// Units a second over all entries; 0 for no limit.
+    /// Units per second over all entries; 0 for no limit.
     pub rate: f64,
-    /// Units that may be used at once on top.
+    /// Units that may be used at once in addition.
     pub burst: f64,
 }
 
-/// The digest of an API key. Keys are found by it, so that the time of a
-/// look-up tells nothing about the keys that exist.
+/// The digest of an API key. Keys are looked up by digest, so that the time of a
+/// lookup reveals nothing about the existing keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
@@ -170,22 +170,23 @@
     }
 }
 
-/// One whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteConfig {
-    /// The revision, which rises with every change.
+    /// The revision, which increases with every change.
     pub revision: RevisionNumber,
     /// All routes.
     pub routes: Vec<RouteRule>,
     /// All services.
     pub services: BTreeMap<ServiceName, ServiceRule>,
-    /// Bounds on what callers send.
+    /// Limits on the size of requests.
     pub limits: CallerLimits,
-    /// All client accounts; if there are none, no key is needed.
+    /// All client accounts. Without any, requests need no API key.
     pub accounts: Vec<AccountRule>,
+    /// The index in `accounts` by the digest of an API key.
     keys: HashMap<KeyDigest, usize>,
-    /// The shortest target latency among the routes of each service, of streams
-    /// and of others.
+    /// The shortest target latency among the routes of each service, separately
+    /// for streaming routes (true) and others.
     shortest_targets: BTreeMap<(ServiceName, bool), Duration>,
 }
 
@@ -214,15 +215,15 @@
         self.routes.push(route);
     }
 
-    /// Returns the shortest target latency among the routes of a service that
-    /// answer as `route` does, with streams or not.
+    /// Returns the shortest target latency among the routes of a service that are
+    /// streaming like `route`, or not streaming like it.
     pub fn shortest_target(&self, service: &ServiceName, route: &RouteRule) -> Duration {
         let key = (service.clone(), route.streaming);
         let shortest = self.shortest_targets.get(&key).copied();
         shortest.unwrap_or(route.target_latency)
     }
 
-    /// Adds an account with its keys.
+    /// Adds an account with its API keys.
     pub fn add_account<'a>(
         &mut self,
         account: AccountRule,
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Finds the route of a host and path: the longest prefix wins.
+    /// Finds the route of a host and path; the longest matching prefix wins.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&RouteRule> {
         self.routes
             .iter()
@@ -244,13 +245,13 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// Finds the account that holds a key.
+    /// Finds the account to which an API key belongs.
     pub fn find_account(&self, key: &str) -> Option<&AccountRule> {
         let index = self.keys.get(&KeyDigest::of(key))?;
         self.accounts.get(*index)
     }
 
-    /// Returns whether requests on a route need a key.
+    /// Returns whether requests on a route need an API key.
     pub fn needs_key(&self, route: &RouteRule) -> bool {
         !route.public && !self.accounts.is_empty()
     }
--- a/lib/tests/test_gateway_config.rs
+++ b/lib/tests/test_gateway_config.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and how old the knowledge of a configuration is.
+//! Lookup of routes and API keys, and confirmation of the newest configuration.
 
 use cloverbend::gateway::config_follower::ConfigFollower;
 use cloverbend::gateway::packed_document::PackedDocument;
@@ -79,7 +79,9 @@
     #[case] expected: Option<&str>,
 ) {
     let config = config(1);
-    let found = config.find_route(host, path).map(|r| r.name.as_str());
+    let found = config
+        .find_route(host, path)
+        .map(|route| route.name.as_str());
     assert_eq!(found, expected);
 }
 
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn targets_get_their_share() {
+fn targets_get_their_share_of_requests() {
     let route = route("wide", "a.example", "/x/");
     let left = (0..1_000).filter(|n| route.target(*n).unwrap().as_str() == "left");
     assert_eq!(left.count(), 900);
@@ -106,15 +108,15 @@
 }
 
 #[test]
-fn what_came_from_another_entry_is_not_read_from_the_log_again() {
+fn a_configuration_from_another_entry_is_not_read_from_the_log_again() {
     let mut follower = ConfigFollower::new();
     assert_eq!(follower.log_end(), None);
     assert!(offer(&mut follower, 3, Some(8)));
     assert_eq!(follower.log_end(), Some(LogOffset(8)));
-    // A read that was on its way ends before.
+    // A read that was already pending ends at a lower offset.
     follower.note_read(LogOffset(6));
     assert_eq!(follower.log_end(), Some(LogOffset(8)));
-    // A sender that does not know its place in the log changes nothing.
+    // A configuration without a known log offset does not change the offset.
     assert!(offer(&mut follower, 4, None));
     assert_eq!(follower.log_end(), Some(LogOffset(8)));
     follower.reset_log_end();
@@ -122,17 +124,18 @@
 }
 
 #[test]
-fn what_is_adopted_is_not_the_newest_after_a_document_that_cannot_be_used() {
+fn the_adopted_configuration_is_not_the_newest_after_an_unusable_document() {
     let mut follower = ConfigFollower::new();
     let at = Timestamp::from_millis;
     assert!(offer(&mut follower, 3, Some(8)));
     follower.confirm(RevisionNumber(3), at(10));
     follower.note_unusable(LogOffset(9));
-    // It is not read again, and nothing is confirmed beside it.
+    // The unusable document is not read again, and nothing is confirmed meanwhile.
     assert_eq!(follower.log_end(), Some(LogOffset(9)));
     follower.confirm(RevisionNumber(3), at(500));
     assert_eq!(follower.confirmed_at(), Some(at(10)));
-    // A copy of one before it changes nothing, one after it does.
+    // A configuration from before the unusable document changes nothing, a later one
+    // does.
     assert!(offer(&mut follower, 4, Some(8)));
     follower.confirm(RevisionNumber(4), at(600));
     assert_eq!(follower.confirmed_at(), Some(at(10)));
@@ -142,15 +145,15 @@
 }
 
 #[test]
-fn knowledge_ages_from_the_question() {
+fn a_confirmation_counts_from_the_time_of_the_request() {
     let mut follower = ConfigFollower::new();
     follower.confirm(RevisionNumber(0), Timestamp::from_millis(5));
     assert_eq!(follower.age(Timestamp::from_millis(9)), None);
     assert!(offer(&mut follower, 3, None));
     follower.confirm(RevisionNumber(3), Timestamp::from_millis(10));
-    // Others know of a newer one: what this entry has is not the newest.
+    // Another entry has a newer revision, so the adopted one is not the newest.
     follower.confirm(RevisionNumber(4), Timestamp::from_millis(500));
-    // An answer that was slower than a later one changes nothing.
+    // A response to an earlier request that arrives late changes nothing.
     follower.confirm(RevisionNumber(3), Timestamp::from_millis(2));
     let age = follower.age(Timestamp::from_millis(1_010));
     assert_eq!(age, Some(Duration::from_secs(1)));
@@ -159,7 +162,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn revisions_only_rise(offered in prop::collection::vec(1_u64..20, 1..40)) {
+    fn the_adopted_revision_only_increases(offered in prop::collection::vec(1_u64..20, 1..40)) {
         let mut follower = ConfigFollower::new();
         let mut highest = 0;
         for revision in offered {
