--- a/lib/benches/hub_news.rs
+++ b/lib/benches/hub_news.rs
@@ -1,5 +1,5 @@
-//! The time that a hub spends on the limits of accounts in one round of news:
-//! every other entry tells what it admitted, and gets the totals of the others.
+//! The time that a hub spends on account limits in one gossip round: every other
+//! entry reports the units that it admitted and gets the totals of the others.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 const ACCOUNTS: usize = 40;
 const HUB: Incarnation = Incarnation(0);
-const SLACK: LimitSlack = LimitSlack {
+const LIMIT_SLACK: LimitSlack = LimitSlack {
     window: Duration::from_secs(8),
     overage: 0.1,
     units: 140_000.0,
@@ -47,7 +47,7 @@
     let mut group = criterion.benchmark_group("round_of_limits");
     group.sample_size(10);
     for entries in [9, 80, 320] {
-        let mut limits = AccountLimits::new(HUB, false, SLACK);
+        let mut limits = AccountLimits::new(HUB, false, LIMIT_SLACK);
         run_round(&mut limits, &accounts, entries, 1);
         group.bench_function(BenchmarkId::from_parameter(entries), |bencher| {
             let setup = || limits.clone();
--- a/lib/src/gateway/gossip_frame.rs
+++ b/lib/src/gateway/gossip_frame.rs
@@ -1,4 +1,4 @@
-//! The frame of news between gateway entries.
+//! The `prost` frame of gossip messages between gateway entries.
 
 use crate::gateway::account_limits::AdmittedUnits;
 use crate::gateway::backend_record::BackendId;
@@ -7,7 +7,7 @@
 use crate::gateway::crash_frames::CrashReportFrame;
 use crate::gateway::hub_capacity::HubCapacity;
 use crate::gateway::list_history::ListChanges;
-use crate::gateway::peer_gossip::BackendUse;
+use crate::gateway::peer_gossip::BackendLoad;
 use crate::gateway::peer_gossip::FreshnessEcho;
 use crate::gateway::peer_gossip::GatewayGossip;
 use crate::gateway::peer_gossip::HubSummary;
@@ -41,6 +41,8 @@
     fence: Option<u64>,
 }
 
+/// The count of an account in a usage window, or the units that it was admitted in
+/// total, with a window of 0.
 #[derive(Clone, PartialEq, Eq, Message)]
 struct CountFrame {
     #[prost(uint64, tag = "1")]
@@ -60,7 +62,7 @@
     #[prost(uint64, optional, tag = "3")]
     fence: Option<u64>,
     #[prost(message, repeated, tag = "4")]
-    uses: Vec<BackendUse>,
+    uses: Vec<BackendLoad>,
 }
 
 #[derive(Clone, PartialEq, Eq, Message)]
@@ -93,9 +95,9 @@
     start: u64,
 }
 
-/// One life of a backend server.
+/// One incarnation of a backend server.
 #[derive(Clone, PartialEq, Eq, Message)]
-struct LifeFrame {
+struct IncarnationFrame {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(uint64, tag = "2")]
@@ -117,7 +119,7 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Message)]
-struct DigestFrame {
+struct SummaryFrame {
     #[prost(message, repeated, tag = "1")]
     admitted: Vec<CountFrame>,
     #[prost(message, repeated, tag = "2")]
@@ -125,7 +127,7 @@
     #[prost(message, optional, tag = "3")]
     backends: Option<BackendListFrame>,
     #[prost(message, repeated, tag = "6")]
-    leaving: Vec<LifeFrame>,
+    leaving: Vec<IncarnationFrame>,
     #[prost(message, optional, tag = "5")]
     changes: Option<ListChangesFrame>,
     #[prost(message, repeated, tag = "7")]
@@ -158,7 +160,7 @@
     #[prost(message, repeated, tag = "11")]
     counts: Vec<CountFrame>,
     #[prost(message, repeated, tag = "12")]
-    uses: Vec<BackendUse>,
+    uses: Vec<BackendLoad>,
     #[prost(message, repeated, tag = "13")]
     work: Vec<ServiceDemand>,
     #[prost(bool, tag = "14")]
@@ -170,7 +172,7 @@
     #[prost(message, optional, tag = "17")]
     view: Option<ViewFrame>,
     #[prost(message, optional, tag = "18")]
-    digest: Option<DigestFrame>,
+    digest: Option<SummaryFrame>,
     #[prost(uint32, tag = "19")]
     strength: u32,
     #[prost(bool, tag = "20")]
@@ -268,43 +270,43 @@
     })
 }
 
-fn write_digest(digest: HubSummary) -> DigestFrame {
-    let hub = |(name, address, strength): (EntryName, SocketAddr, HubCapacity)| HubFrame {
+fn write_summary(summary: HubSummary) -> SummaryFrame {
+    let hub = |(name, address, capacity): (EntryName, SocketAddr, HubCapacity)| HubFrame {
         name: name.into(),
         address: address.to_string(),
-        strength: strength.0,
+        strength: capacity.0,
     };
-    let life = |id: BackendId| LifeFrame {
+    let incarnation = |id: BackendId| IncarnationFrame {
         name: id.name.0,
         start: id.start.0,
     };
     let list = |records: Vec<BackendRecord>| BackendListFrame {
         backends: records.into_iter().map(write_backend).collect(),
     };
-    DigestFrame {
-        admitted: write_admitted(digest.admitted),
-        hubs: digest.hubs.into_iter().map(hub).collect(),
-        backends: digest.backends.map(list),
-        leaving: digest.draining.into_iter().map(life).collect(),
-        changes: digest.changes.map(write_changes),
-        notices: digest.reports.into_iter().map(Into::into).collect(),
-        permits: digest.permits.into_iter().map(Into::into).collect(),
+    SummaryFrame {
+        admitted: write_admitted(summary.admitted),
+        hubs: summary.hubs.into_iter().map(hub).collect(),
+        backends: summary.backends.map(list),
+        leaving: summary.draining.into_iter().map(incarnation).collect(),
+        changes: summary.changes.map(write_changes),
+        notices: summary.reports.into_iter().map(Into::into).collect(),
+        permits: summary.permits.into_iter().map(Into::into).collect(),
     }
 }
 
-fn read_digest(frame: DigestFrame) -> Result<HubSummary, WireError> {
+fn read_summary(frame: SummaryFrame) -> Result<HubSummary, WireError> {
     let hub = |hub: HubFrame| {
         let name = read_field("name", &hub.name)?;
         let address = read_field("address", &hub.address)?;
         Ok((name, address, HubCapacity(hub.strength)))
     };
-    let life = |frame: LifeFrame| BackendId::with_start(frame.name, frame.start);
+    let incarnation = |frame: IncarnationFrame| BackendId::with_start(frame.name, frame.start);
     let list = |list: BackendListFrame| list.backends.into_iter().map(read_backend).collect();
     Ok(HubSummary {
         admitted: read_admitted(frame.admitted)?,
         hubs: frame.hubs.into_iter().map(hub).collect::<Result<_, _>>()?,
         backends: frame.backends.map(list).transpose()?,
-        draining: frame.leaving.into_iter().map(life).collect(),
+        draining: frame.leaving.into_iter().map(incarnation).collect(),
         changes: frame.changes.map(read_changes).transpose()?,
         reports: read_reports(frame.notices),
         permits: frame.permits.into_iter().map(Into::into).collect(),
@@ -312,44 +314,44 @@
 }
 
 impl From<GatewayGossip> for GatewayGossipFrame {
-    fn from(news: GatewayGossip) -> Self {
+    fn from(gossip: GatewayGossip) -> Self {
         Self {
-            incarnation: news.incarnation.0,
-            name: news.name.into(),
-            address: news.address.to_string(),
-            strength: news.hub_capacity.0,
-            sent_at: news.sent_at,
-            leaving: news.draining,
-            revision: news.revision.0,
-            answers_pulls: news.answers_pulls,
-            takes_changes: news.accepts_changes,
-            echo: news.echo.map(|echo| EchoFrame {
+            incarnation: gossip.incarnation.0,
+            name: gossip.name.into(),
+            address: gossip.address.to_string(),
+            strength: gossip.hub_capacity.0,
+            sent_at: gossip.sent_at,
+            leaving: gossip.draining,
+            revision: gossip.revision.0,
+            answers_pulls: gossip.answers_pulls,
+            takes_changes: gossip.accepts_changes,
+            echo: gossip.echo.map(|echo| EchoFrame {
                 incarnation: echo.incarnation.0,
                 sent_at: echo.sent_at,
                 age: echo.config_age,
                 backends_age: echo.backends_age,
-                fence: echo.fence.map(|fence| fence.0),
+                fence: echo.fence.map(|token| token.0),
             }),
-            fence: news.fence.map(|fence| fence.0),
-            duties_end: news.duties_end.0,
-            admitted: write_admitted(news.admitted),
-            counts: write_counts(news.counts),
-            uses: news.backend_loads,
-            work: news.service_demand,
-            crashes: news.crashes.into_iter().map(Into::into).collect(),
-            notices: news.reports.into_iter().map(Into::into).collect(),
-            notices_hash: news.reports_hash,
-            sends: news.sends.into_iter().map(Into::into).collect(),
-            tells: news.reports_state,
-            wants_digest: news.wants_summary,
-            backends_hash: news.backends_hash,
-            view: news.view.map(|view| ViewFrame {
+            fence: gossip.fencing_token.map(|token| token.0),
+            duties_end: gossip.duty_log_end.0,
+            admitted: write_admitted(gossip.admitted),
+            counts: write_counts(gossip.window_counts),
+            uses: gossip.backend_loads,
+            work: gossip.service_demand,
+            crashes: gossip.crashes.into_iter().map(Into::into).collect(),
+            notices: gossip.reports.into_iter().map(Into::into).collect(),
+            notices_hash: gossip.reports_digest,
+            sends: gossip.sends.into_iter().map(Into::into).collect(),
+            tells: gossip.reports_state,
+            wants_digest: gossip.wants_summary,
+            backends_hash: gossip.backends_digest,
+            view: gossip.view.map(|view| ViewFrame {
                 entries: view.entries as u64,
                 heard: view.reachable as u64,
-                fence: view.fence.map(|fence| fence.0),
+                fence: view.fencing_token.map(|token| token.0),
                 uses: view.backend_loads,
             }),
-            digest: news.summary.map(write_digest),
+            digest: gossip.summary.map(write_summary),
         }
     }
 }
@@ -375,26 +377,26 @@
                 backends_age: echo.backends_age,
                 fence: echo.fence.map(FenceToken),
             }),
-            fence: frame.fence.map(FenceToken),
-            duties_end: LogOffset(frame.duties_end),
+            fencing_token: frame.fence.map(FenceToken),
+            duty_log_end: LogOffset(frame.duties_end),
             reports_state: frame.tells,
             wants_summary: frame.wants_digest,
-            backends_hash: frame.backends_hash,
+            backends_digest: frame.backends_hash,
             admitted: read_admitted(frame.admitted)?,
-            counts: read_counts(frame.counts)?,
+            window_counts: read_counts(frame.counts)?,
             backend_loads: frame.uses,
             service_demand: frame.work,
             crashes: frame.crashes.into_iter().map(Into::into).collect(),
             reports: read_reports(frame.notices),
-            reports_hash: frame.notices_hash,
+            reports_digest: frame.notices_hash,
             sends: frame.sends.into_iter().map(Into::into).collect(),
             view: frame.view.map(|view| HubView {
                 entries: view.entries as usize,
                 reachable: view.heard as usize,
-                fence: view.fence.map(FenceToken),
+                fencing_token: view.fence.map(FenceToken),
                 backend_loads: view.uses,
             }),
-            summary: frame.digest.map(read_digest).transpose()?,
+            summary: frame.digest.map(read_summary).transpose()?,
         })
     }
 }
--- a/lib/src/gateway/gossip_task.rs
+++ b/lib/src/gateway/gossip_task.rs
@@ -1,4 +1,4 @@
-//! Exchanges news with the hubs, and answers as a hub, several times a second.
+//! Exchanges gossip with the hubs, and replies as a hub, several times a second.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use crate::gateway::limit_exchange::issue_permits;
 use crate::gateway::limit_exchange::reports_for;
 use crate::gateway::list_history::ListUpdate;
-use crate::gateway::peer_gossip::BackendUse;
+use crate::gateway::peer_gossip::BackendLoad;
 use crate::gateway::peer_gossip::FreshnessEcho;
 use crate::gateway::peer_gossip::GatewayGossip;
 use crate::gateway::peer_gossip::HubSummary;
@@ -30,8 +30,8 @@
 use crate::gateway::peer_gossip::ServiceDemand;
 use crate::gateway::peer_gossip::WindowCount;
 use crate::gateway::peer_table::DueMessage;
-use crate::gateway::peer_table::HeardLife;
-use crate::gateway::peer_table::add_uses;
+use crate::gateway::peer_table::SenderIncarnation;
+use crate::gateway::peer_table::add_loads;
 use crate::gateway::store_task::adopt_backend_changes;
 use crate::gateway::store_task::adopt_backend_list;
 use crate::gateway::store_task::adopt_received;
@@ -41,26 +41,26 @@
 use crate::quantity::Timestamp;
 use crate::wire::PeerMessage;
 
-/// How many windows back counts are told.
-const TOLD_WINDOWS: u64 = 2;
-/// An entry that has run for longer when it is first heard is counted from
-/// there on: what it admitted before is in the past.
-const YOUNG_AGE: Duration = Duration::from_secs(3);
+/// How many past usage windows the reported counts cover.
+const REPORTED_WINDOWS: u64 = 2;
+/// An entry that runs for longer than this when its first message arrives is not
+/// new. What it admitted before that message is not counted again.
+const NEW_ENTRY_AGE: Duration = Duration::from_secs(3);
 
-/// Sends news until the entry stops. A new configuration goes out at once.
+/// Sends gossip until the entry stops. A new configuration triggers a round at once.
 pub async fn run_gossip(context: Arc<GatewayContext>) {
     let mut round: u32 = 0;
     loop {
-        let hurried = tokio::time::timeout(GOSSIP_INTERVAL, context.gossip_due.notified()).await;
-        if hurried.is_err() {
+        let notified = tokio::time::timeout(GOSSIP_INTERVAL, context.gossip_due.notified()).await;
+        if notified.is_err() {
             round = round.wrapping_add(1);
         }
         context.clock.check_suspended();
         let now = context.now();
-        for incarnation in context.peers.lock().forget_silent(now) {
+        for incarnation in context.peers.lock().remove_unreachable(now) {
             context.account_limits.lock().retire(incarnation);
         }
-        note_uses(&context, now);
+        update_peer_loads(&context, now);
         send_round(&context, now, round);
         pull_document(&context, now);
     }
@@ -72,70 +72,70 @@
     if due.is_empty() {
         return;
     }
-    let common = common_news(context);
-    let digests = due.iter().any(|message| message.has_summary);
-    let knowledge = digests.then(|| HubKnowledge::gather(context, &common, granted, now));
+    let common = common_gossip(context);
+    let needs_summary = due.iter().any(|message| message.has_summary);
+    let source = needs_summary.then(|| SummarySource::gather(context, &common, granted, now));
     for message in due {
         if message.reopen {
             context.links.forget(message.address);
         }
-        // News are always the whole state, so those that a slow link could not
-        // take yet are replaced by the next ones.
+        // Gossip always carries the whole state, so the next message makes up for
+        // one that a busy link could not take.
         if context.links.is_busy(message.address) {
             counter!("cloverbend_peer_news_skipped_total").increment(1);
             context.peers.lock().note_skipped(now, &message);
             continue;
         }
-        let mut news = common.clone();
-        address_news(context, &mut news, &message);
-        if let Some(knowledge) = knowledge.as_ref().filter(|_| message.has_summary) {
-            add_digest(context, &mut news, &message, knowledge, now);
+        let mut gossip = common.clone();
+        address_gossip(context, &mut gossip, &message);
+        if let Some(source) = source.as_ref().filter(|_| message.has_summary) {
+            add_summary(context, &mut gossip, &message, source, now);
         }
         context
             .links
-            .send(message.address, PeerMessage::News(Box::new(news)));
+            .send(message.address, PeerMessage::News(Box::new(gossip)));
     }
 }
 
-/// Builds what is the same in all messages of a round.
-fn common_news(context: &GatewayContext) -> GatewayGossip {
+/// Builds the part that is the same in all messages of a round.
+fn common_gossip(context: &GatewayContext) -> GatewayGossip {
     let revision = context.config.lock().revision();
     let backends = context.backends.lock();
-    let backends_hash = backends.list_digest();
+    let backends_digest = backends.list_digest();
     let limits = context.server_limits.lock();
-    let notices_hash = limits.digest(&backends);
+    let reports_digest = limits.digest(&backends);
     let now = context.now();
-    let notices = limits.reports.direct_reports(now);
+    let reports = limits.reports.direct_reports(now);
     let sends = limits.recent_sends(now);
     drop(limits);
     drop(backends);
     let sent_at = context.now();
-    let duties = context.lease.lock();
-    let fence = duties.valid_lease(sent_at).map(|right| right.fencing_token);
-    let duties_end = fence.map(|_| duties.next_offset());
-    drop(duties);
+    let lease = context.lease.lock();
+    let fencing_token = lease.valid_lease(sent_at).map(|lease| lease.fencing_token);
+    let duty_log_end = fencing_token.map(|_| lease.next_offset());
+    drop(lease);
     GatewayGossip {
         sent_at: sent_at.0,
         draining: context.is_draining(),
         revision,
-        fence,
-        duties_end: duties_end.unwrap_or_default(),
+        fencing_token,
+        duty_log_end: duty_log_end.unwrap_or_default(),
         reports_state: true,
-        backends_hash,
+        backends_digest,
         admitted: own_admitted(context),
-        counts: own_counts(context),
-        backend_loads: own_uses(context),
+        window_counts: own_counts(context),
+        backend_loads: own_loads(context),
         service_demand: own_demand(context),
         crashes: context.crashes.lock().reports(context.now()),
-        reports: notices,
-        reports_hash: notices_hash,
+        reports,
+        reports_digest,
         sends,
-        ..own_name(context)
+        ..own_identity(context)
     }
 }
 
-/// Builds news that only name this entry.
-fn own_name(context: &GatewayContext) -> GatewayGossip {
+/// Builds a message that only identifies this entry.
+fn own_identity(context: &GatewayContext) -> GatewayGossip {
     let settings = &context.settings;
     GatewayGossip::new(
         context.incarnation,
@@ -145,119 +145,125 @@
     )
 }
 
-fn address_news(context: &GatewayContext, news: &mut GatewayGossip, message: &DueMessage) {
+/// Completes a message for its receiver, and removes the parts that are only for
+/// hubs if the receiver is none.
+fn address_gossip(context: &GatewayContext, gossip: &mut GatewayGossip, message: &DueMessage) {
     let config = context.config.lock();
-    let config_at = config.confirmed_at();
+    let config_confirmed_at = config.confirmed_at();
     drop(config);
-    let backends_at = context.backends.lock().confirmed_at();
+    let backends_confirmed_at = context.backends.lock().confirmed_at();
     let peers = context.peers.lock();
-    news.echo = peers.echo(&message.name, config_at, backends_at);
+    gossip.echo = peers.echo(&message.name, config_confirmed_at, backends_confirmed_at);
     drop(peers);
-    if let Some(echo) = &mut news.echo
+    if let Some(echo) = &mut gossip.echo
         && !context.lease.lock().may_promise()
     {
         echo.fence = None;
     }
-    news.wants_summary = message.wants_summary;
-    // Only the hub that gives this entry its permits reckons with them.
+    gossip.wants_summary = message.wants_summary;
+    // Only the hub that grants permits to this entry needs them.
     if !message.wants_summary {
-        news.sends = Vec::new();
+        gossip.sends = Vec::new();
     }
     if !message.reports_state {
-        news.reports_state = false;
-        news.admitted = Vec::new();
-        news.counts = Vec::new();
-        news.backend_loads = Vec::new();
-        news.service_demand = Vec::new();
-        news.reports = Vec::new();
+        gossip.reports_state = false;
+        gossip.admitted = Vec::new();
+        gossip.window_counts = Vec::new();
+        gossip.backend_loads = Vec::new();
+        gossip.service_demand = Vec::new();
+        gossip.reports = Vec::new();
     }
 }
 
-/// What a hub tells all entries in a round. It is gathered once and not for
-/// every receiver, of which there are hundreds.
-struct HubKnowledge {
-    share: ShareView,
-    fence: Option<FenceToken>,
+/// What a hub needs for the summaries of one round. It is gathered once per round
+/// and not once per receiver, of which there are hundreds.
+struct SummarySource {
+    entry_counts: ShareView,
+    fencing_token: Option<FenceToken>,
     hubs: Vec<(EntryName, SocketAddr, HubCapacity)>,
-    uses: BTreeMap<BackendId, BackendUse>,
+    loads: BTreeMap<BackendId, BackendLoad>,
     granted: GrantedPermits,
 }
 
-impl HubKnowledge {
+impl SummarySource {
     fn gather(
         context: &GatewayContext,
-        own: &GatewayGossip,
+        own_gossip: &GatewayGossip,
         granted: GrantedPermits,
         now: Timestamp,
     ) -> Self {
         let peers = context.peers.lock();
-        let mut uses = peers.direct_uses(now);
-        add_uses(&mut uses, &own.backend_loads);
+        let mut loads = peers.direct_backend_loads(now);
+        add_loads(&mut loads, &own_gossip.backend_loads);
         Self {
-            share: peers.direct_entry_counts(now),
-            fence: peers.told_fence(now).max(own.fence),
+            entry_counts: peers.direct_entry_counts(now),
+            fencing_token: peers
+                .highest_direct_fence(now)
+                .max(own_gossip.fencing_token),
             hubs: peers.hub_addresses(now),
-            uses,
+            loads,
             granted,
         }
     }
 
-    /// Returns the load that all entries but one put on backend servers.
-    fn uses_without(&self, left_out: &[BackendUse]) -> Vec<BackendUse> {
-        let theirs: BTreeMap<BackendId, &BackendUse> =
-            left_out.iter().map(|one| (one.id(), one)).collect();
-        let rest = |(id, sum): (&BackendId, &BackendUse)| {
-            let theirs = theirs.get(id);
-            let in_flight = theirs.map_or(0, |theirs| theirs.in_flight);
-            let unread = theirs.map_or(0, |theirs| theirs.unread);
-            BackendUse {
+    /// Returns the load that all entries but the one with load `excluded` put on
+    /// backend servers.
+    fn loads_without(&self, excluded: &[BackendLoad]) -> Vec<BackendLoad> {
+        let excluded: BTreeMap<BackendId, &BackendLoad> =
+            excluded.iter().map(|load| (load.id(), load)).collect();
+        let remainder = |(id, sum): (&BackendId, &BackendLoad)| {
+            let excluded = excluded.get(id);
+            let in_flight = excluded.map_or(0, |load| load.in_flight);
+            let pending_tokens = excluded.map_or(0, |load| load.unread);
+            BackendLoad {
                 in_flight: sum.in_flight.saturating_sub(in_flight),
-                unread: sum.unread.saturating_sub(unread),
+                unread: sum.unread.saturating_sub(pending_tokens),
                 ..sum.clone()
             }
         };
-        let rests = self.uses.iter().map(rest);
-        rests.filter(|one| one.in_flight > 0).collect()
+        let remainders = self.loads.iter().map(remainder);
+        remainders.filter(|load| load.in_flight > 0).collect()
     }
 }
 
-/// Adds what all entries told here, without what the receiver told itself.
-fn add_digest(
+/// Adds the view and the summary of all entries, without the receiver's own
+/// share in them.
+fn add_summary(
     context: &GatewayContext,
-    news: &mut GatewayGossip,
+    gossip: &mut GatewayGossip,
     message: &DueMessage,
-    knowledge: &HubKnowledge,
+    source: &SummarySource,
     now: Timestamp,
 ) {
     let mut peers = context.peers.lock();
     let receiver = peers.get(&message.name);
     let incarnation = receiver.and_then(|peer| peer.incarnation);
-    let their_hash = receiver.map_or(0, |peer| peer.backends_hash);
-    let takes_changes = receiver.is_some_and(|peer| peer.takes_changes);
-    news.view = Some(HubView {
-        entries: knowledge.share.entries,
-        reachable: knowledge.share.reachable,
-        fence: knowledge.fence,
-        backend_loads: knowledge.uses_without(peers.uses_of(&message.name)),
+    let peer_digest = receiver.map_or(0, |peer| peer.backends_digest);
+    let accepts_changes = receiver.is_some_and(|peer| peer.accepts_changes);
+    gossip.view = Some(HubView {
+        entries: source.entry_counts.entries,
+        reachable: source.entry_counts.reachable,
+        fencing_token: source.fencing_token,
+        backend_loads: source.loads_without(peers.backend_loads_of(&message.name)),
     });
-    let differs = their_hash != news.backends_hash;
-    let offered = differs && peers.offers_list(now, &message.name, news.backends_hash);
+    let differs = peer_digest != gossip.backends_digest;
+    let is_due = differs && peers.should_send_list(now, &message.name, gossip.backends_digest);
     drop(peers);
-    let known = takes_changes.then_some(their_hash);
-    let offer = offered.then(|| context.backends.lock().list_update(known));
-    let (backends, changes) = match offer {
+    let known_digest = accepts_changes.then_some(peer_digest);
+    let update = is_due.then(|| context.backends.lock().list_update(known_digest));
+    let (backends, changes) = match update {
         None | Some(ListUpdate::Nothing) => (None, None),
         Some(ListUpdate::Full(records)) => (Some(records), None),
         Some(ListUpdate::Changes(changes)) => (None, Some(changes)),
     };
-    news.summary = Some(HubSummary {
+    gossip.summary = Some(HubSummary {
         admitted: context.account_limits.lock().totals_without(incarnation),
-        hubs: knowledge.hubs.clone(),
+        hubs: source.hubs.clone(),
         backends,
         changes,
-        draining: told_leaving(context, differs),
-        reports: reports_for(context, now, &message.name, news.reports_hash),
-        permits: knowledge
+        draining: draining_backends(context, differs),
+        reports: reports_for(context, now, &message.name, gossip.reports_digest),
+        permits: source
             .granted
             .get(&message.name)
             .cloned()
@@ -265,33 +271,34 @@
     });
 }
 
-/// Asks an entry that is ahead for the next part of the configuration, if this
-/// entry is behind and no answer is open.
+/// Pulls the next part of the configuration from an entry with a newer revision,
+/// unless this entry is up to date or a pull is pending.
 fn pull_document(context: &GatewayContext, now: Timestamp) {
-    let own = context.config.lock().revision();
+    let own_revision = context.config.lock().revision();
     let address = context.settings.peer_advertised;
-    let mut transfer = context.transfer.lock();
-    let sources = context.peers.lock().ahead(now, own);
-    let failures = transfer.failures();
-    let pull = transfer.next_pull(now, address, &sources);
-    let failed_again = transfer.failures() > failures;
-    let held = transfer.buffered_bytes();
-    drop(transfer);
+    let mut fetcher = context.transfer.lock();
+    let sources = context.peers.lock().newer_sources(now, own_revision);
+    let failures = fetcher.failures();
+    let pull = fetcher.next_pull(now, address, &sources);
+    let has_failed = fetcher.failures() > failures;
+    let buffered = fetcher.buffered_bytes();
+    drop(fetcher);
     let Some((source, pull)) = pull else {
         return;
     };
-    if failed_again {
+    if has_failed {
         counter!("cloverbend_config_pulls_unanswered_total").increment(1);
-        info!(context.log, "configuration asked for elsewhere"; "revision" => pull.revision.0,
-            "own_revision" => own.0, "from" => %source, "held_bytes" => held);
+        info!(context.log, "configuration pull unanswered, trying another entry";
+            "revision" => pull.revision.0, "own_revision" => own_revision.0,
+            "from" => %source, "held_bytes" => buffered);
     }
     context.links.send(source, PeerMessage::DocumentPull(pull));
 }
 
-/// Answers an entry that asks for a part of the configuration.
+/// Answers a pull of a part of the configuration.
 pub fn answer_pull(context: &GatewayContext, pull: &DocumentPull) {
-    let answer = context.config.lock().part_for(context.now(), pull);
-    let Some(part) = answer else {
+    let part = context.config.lock().part_for(context.now(), pull);
+    let Some(part) = part else {
         return;
     };
     counter!("cloverbend_config_parts_sent_total").increment(1);
@@ -303,40 +310,41 @@
         .send(pull.reply_to, PeerMessage::DocumentPart(part));
 }
 
-/// Takes over a part of the configuration, and asks for the next one.
+/// Receives a part of the configuration, and pulls the next one. Adopts the
+/// configuration once its document is complete.
 pub fn receive_part(context: &GatewayContext, part: &DocumentPart) {
-    let own = context.config.lock().revision();
-    let arrived = context.transfer.lock().take_part(own, part);
+    let own_revision = context.config.lock().revision();
+    let document = context.transfer.lock().take_part(own_revision, part);
     let now = context.now();
-    if let Some(arrived) = arrived {
+    if let Some(document) = document {
         counter!("cloverbend_config_documents_received_total").increment(1);
-        let revision = arrived.revision;
-        if !adopt_received(context, arrived) {
+        let revision = document.revision;
+        if !adopt_received(context, document) {
             context.transfer.lock().note_unusable(now, revision);
         }
     }
     pull_document(context, now);
 }
 
-/// Returns the servers that leave while the list cannot be passed on. That a
-/// server leaves is final, so it needs no order among lists.
-fn told_leaving(context: &GatewayContext, differs: bool) -> Vec<BackendId> {
+/// Returns the draining backend servers, if this entry cannot send its list.
+/// A server never stops draining, so it does not matter which list is newer.
+fn draining_backends(context: &GatewayContext, differs: bool) -> Vec<BackendId> {
     let backends = context.backends.lock();
     if !differs || !backends.has_missing() {
         return Vec::new();
     }
-    let leaving = backends
+    let draining = backends
         .iter()
         .filter(|backend| !backend.accepts_requests());
-    leaving.map(|backend| backend.record.id.clone()).collect()
+    draining.map(|backend| backend.record.id.clone()).collect()
 }
 
-fn own_uses(context: &GatewayContext) -> Vec<BackendUse> {
+fn own_loads(context: &GatewayContext) -> Vec<BackendLoad> {
     let backends = context.backends.lock();
     backends
         .iter()
         .filter(|backend| backend.in_flight > 0)
-        .map(|backend| BackendUse {
+        .map(|backend| BackendLoad {
             backend: backend.record.id.name.0.clone(),
             start: backend.record.id.start.0,
             in_flight: backend.in_flight,
@@ -345,34 +353,34 @@
         .collect()
 }
 
-/// Returns the work that callers bring to this entry for each service.
+/// Returns the demand of the callers of this entry for each service.
 pub fn own_demand(context: &GatewayContext) -> Vec<ServiceDemand> {
     let now = context.now();
     let backends = context.backends.lock();
     let meter = context.work.lock();
-    let work = meter.rates(now).map(|(service, offered)| {
-        let run = backends.times(service).processing_time.as_secs_f64();
+    let demands = meter.rates(now).map(|(service, rate)| {
+        let processing_s = backends.times(service).processing_time.as_secs_f64();
         ServiceDemand {
             service: service.to_string(),
-            tokens_per_s: offered.tokens_per_s as u64,
-            busy_milli: (offered.requests_per_s * run * 1_000.0) as u64,
-            requests_milli: (offered.requests_per_s * 1_000.0) as u64,
+            tokens_per_s: rate.tokens_per_s as u64,
+            busy_milli: (rate.requests_per_s * processing_s * 1_000.0) as u64,
+            requests_milli: (rate.requests_per_s * 1_000.0) as u64,
         }
     });
-    work.collect()
+    demands.collect()
 }
 
 fn own_admitted(context: &GatewayContext) -> Vec<AdmittedUnits> {
     let limits = context.account_limits.lock();
-    let told = limits.admitted().map(|(account, units)| AdmittedUnits {
+    let admitted = limits.admitted().map(|(account, units)| AdmittedUnits {
         account: account.clone(),
         units,
     });
-    told.collect()
+    admitted.collect()
 }
 
 fn own_counts(context: &GatewayContext) -> Vec<WindowCount> {
-    let oldest = context.usage_window().saturating_sub(TOLD_WINDOWS);
+    let oldest = context.usage_window().saturating_sub(REPORTED_WINDOWS);
     let usage = context.usage.lock();
     let recent = usage.own_counts().filter(|(window, _)| *window >= oldest);
     recent
@@ -386,143 +394,155 @@
         .collect()
 }
 
-/// Takes over another entry's message.
-pub fn receive_gossip(context: &GatewayContext, news: GatewayGossip) {
+/// Receives a gossip message of another entry.
+pub fn receive_gossip(context: &GatewayContext, gossip: GatewayGossip) {
     let now = context.now();
-    if news.incarnation == context.incarnation {
+    if gossip.incarnation == context.incarnation {
         return;
     }
-    // Whoever answers with this entry's promise has to know of it before.
-    if let Some(fence) = news.fence {
-        let mut duties = context.lease.lock();
-        duties.note_holder_gossip(now, fence, news.duties_end);
+    // The next echo of this entry is a promise to the holder, so the lease state
+    // must record the holder's token first.
+    if let Some(fencing_token) = gossip.fencing_token {
+        let mut lease = context.lease.lock();
+        lease.note_holder_gossip(now, fencing_token, gossip.duty_log_end);
     }
     let mut peers = context.peers.lock();
-    let told = peers.fence_of(&news.name);
-    let life = peers.apply_gossip(now, &news);
-    let tells_no_more = told.is_some() && peers.fence_of(&news.name).is_none();
+    let earlier_token = peers.fencing_token_of(&gossip.name);
+    let sender = peers.apply_gossip(now, &gossip);
+    let has_ended_lease = earlier_token.is_some() && peers.fencing_token_of(&gossip.name).is_none();
     drop(peers);
-    if tells_no_more {
+    if has_ended_lease {
         context.lease.lock().request_read();
     }
-    if let HeardLife::New { replaced } = life {
-        if let Some(gone) = replaced {
-            context.account_limits.lock().retire(gone);
+    if let SenderIncarnation::New { replaced } = sender {
+        if let Some(replaced) = replaced {
+            context.account_limits.lock().retire(replaced);
         }
-        info!(context.log, "entry heard"; "other" => %news.name,
-            "incarnation" => %news.incarnation, "address" => %news.address);
+        info!(context.log, "entry heard"; "other" => %gossip.name,
+            "incarnation" => %gossip.incarnation, "address" => %gossip.address);
     }
-    if news.revision > context.config.lock().revision() {
+    if gossip.revision > context.config.lock().revision() {
         pull_document(context, now);
     }
-    if news.reports_state {
-        note_admitted(context, &news);
-        note_counts(context, &news);
+    if gossip.reports_state {
+        apply_admitted(context, &gossip);
+        apply_window_counts(context, &gossip);
     }
-    if !news.crashes.is_empty() {
-        merge_crash_reports(context, &news.crashes);
+    if !gossip.crashes.is_empty() {
+        merge_crash_reports(context, &gossip.crashes);
     }
-    apply_server_gossip(context, now, &news);
-    if let Some(digest) = &news.summary {
-        note_digest(context, &news, digest, now);
+    apply_server_gossip(context, now, &gossip);
+    if let Some(summary) = &gossip.summary {
+        apply_summary(context, &gossip, summary, now);
     }
-    let own = context.incarnation;
-    if let Some(echo) = news.echo.filter(|echo| echo.incarnation == own) {
-        confirm(context, &news, echo);
-        take_promise(context, &news, echo);
+    let own_incarnation = context.incarnation;
+    if let Some(echo) = gossip
+        .echo
+        .filter(|echo| echo.incarnation == own_incarnation)
+    {
+        confirm_state(context, &gossip, echo);
+        apply_promise(context, &gossip, echo);
     }
 }
 
-/// Returns when something was known, by the own clock: `age` before the message
-/// that this entry sent at `sent_at`, or after it if that is below zero. The
-/// message was on its way meanwhile, so this is the earliest possible moment.
-/// None if it was before this entry started: counted from the start it would
-/// seem fresh, here and at all that this entry tells.
-fn known_at(sent_at: u64, age: i64) -> Option<Timestamp> {
+/// Returns the time, by the own clock, at which the sender of an echo confirmed
+/// its state: `age` before this entry sent the echoed message at `sent_at`, or
+/// after it if `age` is negative. This ignores how long that message was on its
+/// way, so it is the earliest possible time.
+/// None if the time is before the start of this entry. Time 0 would be wrong
+/// instead: the state would seem fresh here and at the entries that it is sent to.
+fn confirmation_time(sent_at: u64, age: i64) -> Option<Timestamp> {
     let at = sent_at.checked_add_signed(age.saturating_neg());
     at.map(Timestamp)
 }
 
-/// Takes over that another entry heard of this entry's tenure, and does not claim.
-fn take_promise(context: &GatewayContext, news: &GatewayGossip, echo: FreshnessEcho) {
-    if let Some(fence) = echo.fence {
+/// Records the promise of another entry that has this entry's fencing token not
+/// to claim the lease.
+fn apply_promise(context: &GatewayContext, gossip: &GatewayGossip, echo: FreshnessEcho) {
+    if let Some(fencing_token) = echo.fence {
         let sent_at = Timestamp(echo.sent_at);
-        let mut duties = context.lease.lock();
-        duties.note_promise(context.now(), &news.name, fence, sent_at);
+        let mut lease = context.lease.lock();
+        lease.note_promise(context.now(), &gossip.name, fencing_token, sent_at);
     }
 }
 
-/// Takes over how old another entry's knowledge is, counted from the moment at
-/// which this entry sent the message that it answers.
-fn confirm(context: &GatewayContext, news: &GatewayGossip, echo: FreshnessEcho) {
-    let known = |age: Option<i64>| known_at(echo.sent_at, age?);
-    if let Some(at) = known(echo.config_age) {
-        context.config.lock().confirm(news.revision, at);
-    }
-    if let Some(at) = known(echo.backends_age) {
+/// Confirms the own state as of the time at which another entry, which has the
+/// same state, confirmed it.
+fn confirm_state(context: &GatewayContext, gossip: &GatewayGossip, echo: FreshnessEcho) {
+    let confirmed_at = |age: Option<i64>| confirmation_time(echo.sent_at, age?);
+    if let Some(at) = confirmed_at(echo.config_age) {
+        context.config.lock().confirm(gossip.revision, at);
+    }
+    if let Some(at) = confirmed_at(echo.backends_age) {
         let mut backends = context.backends.lock();
-        if backends.list_digest() == news.backends_hash {
+        if backends.list_digest() == gossip.backends_digest {
             backends.confirm(at);
         }
     }
 }
 
-fn note_admitted(context: &GatewayContext, news: &GatewayGossip) {
-    let young = news.sent_at < YOUNG_AGE.as_micros() as u64;
+fn apply_admitted(context: &GatewayContext, gossip: &GatewayGossip) {
+    let is_new = gossip.sent_at < NEW_ENTRY_AGE.as_micros() as u64;
     let mut limits = context.account_limits.lock();
-    for item in &news.admitted {
-        limits.note_peer_total(news.incarnation, &item.account, item.units, young);
+    for item in &gossip.admitted {
+        limits.note_peer_total(gossip.incarnation, &item.account, item.units, is_new);
     }
-    let accounts = news.admitted.iter().map(|item| &item.account);
+    let accounts = gossip.admitted.iter().map(|item| &item.account);
     limits.merge_peer_totals(context.now(), context.incarnation, accounts);
 }
 
-fn note_counts(context: &GatewayContext, news: &GatewayGossip) {
+fn apply_window_counts(context: &GatewayContext, gossip: &GatewayGossip) {
     let mut usage = context.usage.lock();
-    for item in &news.counts {
-        usage.note_peer_count(news.incarnation, item.window, &item.account, item.count);
+    for item in &gossip.window_counts {
+        usage.note_peer_count(gossip.incarnation, item.window, &item.account, item.count);
     }
 }
 
-fn note_digest(
+fn apply_summary(
     context: &GatewayContext,
-    news: &GatewayGossip,
-    digest: &HubSummary,
+    gossip: &GatewayGossip,
+    summary: &HubSummary,
     now: Timestamp,
 ) {
     let mut limits = context.account_limits.lock();
     limits.note_gossip(now);
-    for item in &digest.admitted {
-        limits.merge_total(now, news.incarnation, &item.account, item.units);
+    for item in &summary.admitted {
+        limits.merge_total(now, gossip.incarnation, &item.account, item.units);
     }
     drop(limits);
     let mut peers = context.peers.lock();
-    for (name, address, strength) in &digest.hubs {
-        peers.note_listed(now, name.clone(), *address, *strength);
+    for (name, address, hub_capacity) in &summary.hubs {
+        peers.note_listed(now, name.clone(), *address, *hub_capacity);
     }
     drop(peers);
-    let own = context.incarnation;
-    let echo = news.echo.filter(|echo| echo.incarnation == own);
-    // A list from before the own start is better than none, but proves nothing.
-    let at_start = Timestamp(0);
-    let since = |age, sent_at| known_at(sent_at, age).unwrap_or(at_start);
-    let known = echo.and_then(|echo| Some(since(echo.backends_age?, echo.sent_at)));
-    if let (Some(records), Some(known)) = (&digest.backends, known) {
-        adopt_backend_list(context, records, known);
-    }
-    if let (Some(changes), Some(known)) = (&digest.changes, known) {
-        adopt_backend_changes(context, changes, news.backends_hash, known);
-    }
-    note_draining(context, &digest.draining);
+    let own_incarnation = context.incarnation;
+    let echo = gossip
+        .echo
+        .filter(|echo| echo.incarnation == own_incarnation);
+    // A list that was confirmed before the own start is better than none, but it
+    // does not confirm the own list.
+    let start = Timestamp(0);
+    let or_start = |age, sent_at| confirmation_time(sent_at, age).unwrap_or(start);
+    let confirmed_at = echo.and_then(|echo| Some(or_start(echo.backends_age?, echo.sent_at)));
+    if let (Some(records), Some(confirmed_at)) = (&summary.backends, confirmed_at) {
+        adopt_backend_list(context, records, confirmed_at);
+    }
+    if let (Some(changes), Some(confirmed_at)) = (&summary.changes, confirmed_at) {
+        adopt_backend_changes(context, changes, gossip.backends_digest, confirmed_at);
+    }
+    note_draining(context, &summary.draining);
 }
 
-fn note_uses(context: &GatewayContext, now: Timestamp) {
-    let sums = context.peers.lock().uses(now);
+fn update_peer_loads(context: &GatewayContext, now: Timestamp) {
+    let sums = context.peers.lock().backend_loads(now);
     let mut backends = context.backends.lock();
-    let ids: Vec<BackendId> = backends.iter().map(|b| b.record.id.clone()).collect();
+    let ids: Vec<BackendId> = backends
+        .iter()
+        .map(|backend| backend.record.id.clone())
+        .collect();
     for id in ids {
         let sum = sums.get(&id);
-        let (in_flight, unread) = sum.map_or((0, 0), |sum| (sum.in_flight, sum.unread));
-        backends.note_peer_load(&id, in_flight, unread);
+        let (in_flight, pending_tokens) = sum.map_or((0, 0), |sum| (sum.in_flight, sum.unread));
+        backends.note_peer_load(&id, in_flight, pending_tokens);
     }
 }
--- a/lib/src/gateway/hub_capacity.rs
+++ b/lib/src/gateway/hub_capacity.rs
@@ -1,20 +1,19 @@
-//! How much an entry's VM can carry for other entries.
+//! How much gossip of other entries the VM of an entry can handle as a hub.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// How much a VM can carry as a hub; more is better.
+/// How much gossip a VM can handle as a hub, in megabits per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct HubCapacity(pub u32);
 
-/// Megabits a second of news that a whole core handles, by the processor time
-/// of hubs at 87 entries.
+/// Megabits per second of gossip that a whole CPU core handles.
 const CORE_MBPS: f64 = 400.0;
 
 impl HubCapacity {
-    /// Computes the strength by what is scarcer, the link or the processor.
+    /// Computes the capacity from the scarcer resource, the link or the CPU.
     pub fn of(link_mbps: f64, cpu_share: f64) -> Self {
-        // Both are positive and small; the cast keeps whole megabits.
+        // Both values are positive and small, so the cast only drops the fraction.
         Self(link_mbps.min(cpu_share * CORE_MBPS) as u32)
     }
 }
--- a/lib/src/gateway/peer_gossip.rs
+++ b/lib/src/gateway/peer_gossip.rs
@@ -1,4 +1,4 @@
-//! News between gateway entries, as a `prost` frame.
+//! Gossip messages between gateway entries.
 
 use std::net::SocketAddr;
 
@@ -20,170 +20,175 @@
 use crate::id::LogOffset;
 use crate::id::RevisionNumber;
 
-/// How old the sender's knowledge was when it received the message that it
-/// answers. The receiver measures from its own clock.
+/// Reports to the receiver how old the sender's state was when the sender received
+/// the receiver's last message. The receiver knows by its own clock when it sent
+/// that message, so the two clocks need not agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessEcho {
-    /// Whose message is answered.
+    /// The incarnation that sent the echoed message.
     pub incarnation: Incarnation,
-    /// The time in that message, by the clock of its sender, in microseconds.
+    /// The send time in the echoed message, in microseconds by the clock of the
+    /// entry that sent it.
     pub sent_at: u64,
-    /// How old the knowledge of the configuration was then, in microseconds;
-    /// below zero if it was confirmed only later. None if there is none.
+    /// The time since the configuration was last confirmed as the newest, in
+    /// microseconds; negative if it was confirmed after the echoed message came.
+    /// None if it was never confirmed.
     pub config_age: Option<i64>,
     /// The same for the list of backend servers.
     pub backends_age: Option<i64>,
-    /// The fence that the message told of its sender. With it the sender of this
-    /// promises not to claim the lease for a term from when the message came.
+    /// The fencing token in the echoed message. By echoing it, the sender promises
+    /// not to claim the lease for one term, counted from the arrival of that
+    /// message.
     pub fence: Option<FenceToken>,
 }
 
 /// The load that an entry puts on a backend server.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct BackendUse {
+pub struct BackendLoad {
     /// The backend server's name.
     #[prost(string, tag = "1")]
     pub backend: String,
-    /// Requests that it has from the entry.
+    /// Requests of the entry that are in flight at the server.
     #[prost(uint32, tag = "2")]
     pub in_flight: u32,
-    /// Prompt tokens of those that have not begun to answer.
+    /// Prompt tokens of the requests to which the server has not begun to respond.
     #[prost(uint64, tag = "3")]
     pub unread: u64,
-    /// The start of its life, in milliseconds since 1970 by its own clock; 0 if
-    /// it does not tell.
+    /// When this incarnation of the server started, in milliseconds since 1970 by
+    /// its own clock; 0 if the server does not report it.
     #[prost(uint64, tag = "4")]
     pub start: u64,
 }
 
-impl BackendUse {
-    /// Returns the life that has the requests.
+impl BackendLoad {
+    /// Returns the incarnation of the server that has the requests.
     pub fn id(&self) -> BackendId {
         BackendId::with_start(self.backend.clone(), self.start)
     }
 }
 
-/// The work that callers bring to an entry for a service.
+/// The demand of the callers of an entry for a service.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ServiceDemand {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Prompt tokens to be read in a second.
+    /// Prompt tokens to prefill per second.
     #[prost(uint64, tag = "2")]
     pub tokens_per_s: u64,
-    /// Thousandths of slots that its requests occupy on the average.
+    /// Slots that its requests occupy on average, in thousandths.
     #[prost(uint64, tag = "3")]
     pub busy_milli: u64,
-    /// Thousandths of requests in a second.
+    /// Requests per second, in thousandths.
     #[prost(uint64, tag = "4")]
     pub requests_milli: u64,
 }
 
-/// Requests of an account that began in a window at an entry.
+/// The number of requests of an account that began in a usage window at an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WindowCount {
-    /// The window.
+    /// The usage window.
     pub window: u64,
     /// The account.
     pub account: AccountName,
-    /// The requests.
+    /// The number of requests.
     pub count: u64,
 }
 
-/// What a hub told of all entries.
+/// What a hub knows about all entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HubView {
     /// Entries that may admit requests.
     pub entries: usize,
-    /// Those that the hub hears, itself included.
+    /// Entries that the hub reaches, itself included.
     pub reachable: usize,
-    /// The highest fence that an entry is heard to hold.
-    pub fence: Option<FenceToken>,
+    /// The highest fencing token that an entry reports.
+    pub fencing_token: Option<FenceToken>,
     /// The load that all entries but the receiver put on backend servers.
-    pub backend_loads: Vec<BackendUse>,
+    pub backend_loads: Vec<BackendLoad>,
 }
 
-/// What a hub adds to its answers.
+/// What a hub adds to its gossip for an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HubSummary {
-    /// What all entries but the receiver admitted, as the hub counts.
+    /// The units that all entries but the receiver admitted, as the hub counts
+    /// them.
     pub admitted: Vec<AdmittedUnits>,
-    /// The hubs that the sender uses itself.
+    /// The hubs to which the sender itself sends its state.
     pub hubs: Vec<(EntryName, SocketAddr, HubCapacity)>,
-    /// The backend servers, if the receiver's list differs and it is not known
-    /// how.
+    /// All backend servers, if the receiver has another list and the changes
+    /// between the two are unknown.
     pub backends: Option<Vec<BackendRecord>>,
-    /// How the list differs from the one that the receiver told to have.
+    /// The changes from the list of the receiver to the one of the sender.
     pub changes: Option<ListChanges>,
-    /// Those that leave, while the list cannot be passed on.
+    /// Draining backend servers, while the sender cannot send its list.
     pub draining: Vec<BackendId>,
-    /// Limits that servers named, if the receiver knows others.
+    /// Server reports, if the receiver has other ones.
     pub reports: Vec<RelayedReport>,
-    /// What the receiver may send to servers with a limit.
+    /// Permits for the receiver to send requests to servers with a limit.
     pub permits: Vec<PermitGrant>,
 }
 
-/// What one entry tells another several times a second. It is always the
-/// whole state, so that a lost message needs no repetition.
+/// The gossip message that an entry sends to another several times a second. It
+/// always carries the whole state, so a lost message need not be resent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayGossip {
-    /// The sender's life.
+    /// The incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The sender's name.
+    /// The name of the sender.
     pub name: EntryName,
-    /// Where the sender listens for other entries.
+    /// The address at which the sender accepts connections of other entries.
     pub address: SocketAddr,
-    /// How much the sender can carry as a hub.
+    /// How much gossip the sender can handle as a hub.
     pub hub_capacity: HubCapacity,
-    /// Microseconds since the sender's start, at sending.
+    /// When the message was sent, in microseconds since the start of the sender.
     pub sent_at: u64,
-    /// Whether the sender is stopping.
+    /// Whether the sender is draining.
     pub draining: bool,
-    /// The sender's revision of the configuration.
+    /// The revision of the sender's configuration.
     pub revision: RevisionNumber,
-    /// Whether the sender answers questions for parts of the configuration's
-    /// document. Entries of earlier versions close the connection instead.
+    /// Whether the sender answers pulls of parts of the configuration document.
+    /// Earlier versions close the connection instead.
     pub answers_pulls: bool,
-    /// Whether the sender takes differences of the list of backend servers.
-    /// Entries of earlier versions pass over them.
+    /// Whether the sender accepts incremental changes of the list of backend
+    /// servers. Earlier versions ignore them.
     pub accepts_changes: bool,
-    /// The age of the sender's knowledge.
+    /// The echo of the receiver's last message.
     pub echo: Option<FreshnessEcho>,
-    /// The fence of the lease, if the sender has the right to act.
-    pub fence: Option<FenceToken>,
-    /// Up to where the records of the lease go that the sender knows.
-    pub duties_end: LogOffset,
-    /// Whether the sender tells its own news here, as to a hub.
+    /// The fencing token, if the sender holds a valid lease.
+    pub fencing_token: Option<FenceToken>,
+    /// The end of the duty log as the sender knows it, if it holds a valid lease.
+    pub duty_log_end: LogOffset,
+    /// Whether the message carries the sender's state, as to a hub.
     pub reports_state: bool,
-    /// Whether the receiver is to answer with a digest each round.
+    /// Whether the receiver should reply with a summary in every round.
     pub wants_summary: bool,
     /// The digest of the sender's list of backend servers.
-    pub backends_hash: u64,
-    /// What the sender admitted.
+    pub backends_digest: u64,
+    /// The units that the sender admitted.
     pub admitted: Vec<AdmittedUnits>,
-    /// What began at the sender.
-    pub counts: Vec<WindowCount>,
+    /// The requests that began at the sender.
+    pub window_counts: Vec<WindowCount>,
     /// The load that the sender puts on backend servers.
-    pub backend_loads: Vec<BackendUse>,
-    /// The work that the sender sends to services.
+    pub backend_loads: Vec<BackendLoad>,
+    /// The demand of the sender's callers for each service.
     pub service_demand: Vec<ServiceDemand>,
-    /// Requests under which backend servers crashed.
+    /// Crashes of backend servers, by the request that ran there.
     pub crashes: Vec<CrashReport>,
-    /// Limits that servers named to the sender a moment ago.
+    /// Recent server reports in responses to the sender.
     pub reports: Vec<RelayedReport>,
-    /// The digest of the limits that the sender knows.
-    pub reports_hash: u64,
-    /// What the sender has sent to servers with a limit.
+    /// The digest of the server reports that the sender has.
+    pub reports_digest: u64,
+    /// Requests that the sender has sent to servers with a limit.
     pub sends: Vec<LimitedSends>,
-    /// What the sender knows of all entries, if it answers as a hub.
+    /// What the sender knows about all entries, if it replies as a hub.
     pub view: Option<HubView>,
-    /// What the sender adds as a hub.
+    /// What the sender adds for the receiver, if it replies as a hub.
     pub summary: Option<HubSummary>,
 }
 
 impl GatewayGossip {
-    /// Returns the news of an entry that names itself and tells nothing more.
+    /// Returns a message that identifies its sender and carries no state.
     pub fn new(
         incarnation: Incarnation,
         name: EntryName,
@@ -201,18 +206,18 @@
             answers_pulls: true,
             accepts_changes: true,
             echo: None,
-            fence: None,
-            duties_end: LogOffset(0),
+            fencing_token: None,
+            duty_log_end: LogOffset(0),
             reports_state: false,
             wants_summary: false,
-            backends_hash: 0,
+            backends_digest: 0,
             admitted: Vec::new(),
-            counts: Vec::new(),
+            window_counts: Vec::new(),
             backend_loads: Vec::new(),
             service_demand: Vec::new(),
             crashes: Vec::new(),
             reports: Vec::new(),
-            reports_hash: 0,
+            reports_digest: 0,
             sends: Vec::new(),
             view: None,
             summary: None,
--- a/lib/src/gateway/peer_table.rs
+++ b/lib/src/gateway/peer_table.rs
@@ -1,10 +1,11 @@
-//! Which other entries there are, and which of them collect news.
+//! The table of the other entries, and the choice of the hubs among them.
 //!
-//! Pure. Every entry tells its news to a few hubs only, and hubs answer with a
-//! digest of what all entries told them, so that the number of messages grows
-//! with the number of entries and not with its square. Hubs are the strongest
-//! entries that answer, in an order by hash; no entry has to know that it is
-//! one. An entry that hears no hub knows that it is alone.
+//! Pure. Every entry sends its state to a few hubs only. Hubs reply with a
+//! summary of all entries, so the number of messages grows linearly with the
+//! number of entries. The hubs are the responsive entries with the highest hub
+//! capacity, and a hash of the name breaks ties. An entry does not need to know
+//! that it is a hub. An entry that receives nothing from any hub concludes that
+//! it is alone.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,7 +18,7 @@
 use crate::gateway::backend_record::BackendId;
 use crate::gateway::document_transfer::DocumentSource;
 use crate::gateway::hub_capacity::HubCapacity;
-use crate::gateway::peer_gossip::BackendUse;
+use crate::gateway::peer_gossip::BackendLoad;
 use crate::gateway::peer_gossip::FreshnessEcho;
 use crate::gateway::peer_gossip::GatewayGossip;
 use crate::gateway::peer_gossip::HubView;
@@ -29,317 +30,339 @@
 use crate::id::ServiceName;
 use crate::quantity::Timestamp;
 
-/// The number of hubs. One answers, two stand by with the same knowledge.
+/// The number of hubs. An entry has one primary hub, which replies in every
+/// round; the others are standbys with the same state.
 pub const HUB_COUNT: usize = 3;
-/// An entry from which nothing came for so long is not heard: news come four
-/// times a second.
-const HEARD_WITHIN: Duration = Duration::from_millis(1_200);
-/// The same for hubs that stand by, which answer once a second.
-const HUB_HEARD_WITHIN: Duration = Duration::from_millis(2_200);
-/// A hub that answers nothing for so long is passed over.
+/// An entry is unreachable after this time without gossip, which is sent every
+/// 250 ms.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The same for standby hubs, which reply once a second.
+const STANDBY_HUB_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// A hub that has not replied for this time is replaced by the next entry.
 const SUSPECT_AFTER: Duration = Duration::from_millis(2_000);
-/// How long an entry that was sent the list of backend servers has to say that
-/// it has it. Its answer comes with its next news, a quarter of a second later.
-const LIST_PAUSE: Duration = Duration::from_millis(600);
-/// How long an entry may know something else of what servers said before it is
-/// told all of it: by then it has answered to the changes.
-const NOTICES_PATIENCE: Duration = Duration::from_millis(1_500);
-/// An entry from which nothing came for so long is forgotten. Until then its
-/// part of every limit is left to it, in case it is only cut off.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// Every how many rounds an entry is sent what is not urgent for it: digests
-/// of hubs that stand by, and news to hubs that do not answer.
-const SLOW_ROUNDS: u32 = 4;
-
-/// What is known of another entry.
+/// How long to wait before the same list of backend servers is sent to an entry
+/// again. The entry acknowledges it with its next gossip, 250 ms later.
+const LIST_RESEND_DELAY: Duration = Duration::from_millis(600);
+/// How long the server reports of another entry may differ from the own ones
+/// before all of them are sent. By then the entry has acknowledged the recent
+/// changes.
+const REPORTS_RESEND_DELAY: Duration = Duration::from_millis(1_500);
+/// An entry is removed after this time without gossip. Until then it keeps its
+/// share of every limit, since it may only be partitioned.
+const PEER_EXPIRY: Duration = Duration::from_secs(60);
+/// One round in this many is a slow one, in which standby hubs send their
+/// summaries and entries probe hubs that do not reply.
+const SLOW_ROUND_INTERVAL: u32 = 4;
+
+/// What this entry knows about another entry.
 #[derive(Clone, Debug)]
 pub struct PeerState {
-    /// Where it listens.
+    /// The address at which it accepts connections of other entries.
     pub address: SocketAddr,
-    /// How much it can carry as a hub.
-    pub strength: HubCapacity,
-    /// Its newest life, once it was heard.
+    /// How much gossip it can handle as a hub.
+    pub hub_capacity: HubCapacity,
+    /// Its latest known incarnation; none before its first message.
     pub incarnation: Option<Incarnation>,
-    /// When it was last heard, or first listed.
-    pub heard_at: Timestamp,
-    /// Its revision of the configuration.
+    /// When its last message arrived, or when it was first listed.
+    pub last_seen_at: Timestamp,
+    /// The revision of its configuration.
     pub revision: RevisionNumber,
     /// The digest of its list of backend servers.
-    pub backends_hash: u64,
+    pub backends_digest: u64,
     answers_pulls: bool,
-    /// Whether it takes differences of the list of backend servers.
-    pub takes_changes: bool,
-    was_heard: bool,
-    their_time: u64,
-    leaving: bool,
-    fence: Option<FenceToken>,
-    uses: Vec<BackendUse>,
-    work: Vec<ServiceDemand>,
-    told_at: Option<Timestamp>,
-    wants_digest: bool,
+    /// Whether it accepts incremental changes of the list of backend servers.
+    pub accepts_changes: bool,
+    /// Whether this entry has received gossip from it.
+    has_gossiped: bool,
+    /// When it sent its last message, by its own clock, in microseconds.
+    peer_sent_at: u64,
+    draining: bool,
+    fencing_token: Option<FenceToken>,
+    backend_loads: Vec<BackendLoad>,
+    service_demand: Vec<ServiceDemand>,
+    /// When it last sent its state here, as to a hub.
+    reported_at: Option<Timestamp>,
+    wants_summary: bool,
     view: Option<(Timestamp, HubView)>,
+    /// When the oldest message without a reply was sent to it as to a hub.
     unanswered_since: Option<Timestamp>,
-    /// Whether a digest was left out since the link was busy.
-    owes_digest: bool,
-    /// The digest of the list of backend servers that was sent last, and when.
-    list_sent: Option<(u64, Timestamp)>,
-    /// The digest of what it knows of what servers said.
-    notices_hash: u64,
-    /// Since when that differs from the own one.
-    notices_differ_since: Option<Timestamp>,
-    /// When it was told all of that last.
-    notices_sent_at: Option<Timestamp>,
+    /// Whether a summary was skipped because the link was busy.
+    owes_summary: bool,
+    /// The digest of the list of backend servers last sent to it, and when.
+    sent_list: Option<(u64, Timestamp)>,
+    /// The digest of the server reports that it has.
+    reports_digest: u64,
+    /// Since when that digest differs from the own one.
+    reports_differ_since: Option<Timestamp>,
+    /// When all server reports were last sent to it.
+    reports_sent_at: Option<Timestamp>,
 }
 
 impl PeerState {
-    fn listed(now: Timestamp, address: SocketAddr, strength: HubCapacity) -> Self {
+    fn listed(now: Timestamp, address: SocketAddr, hub_capacity: HubCapacity) -> Self {
         Self {
             address,
-            strength,
+            hub_capacity,
             incarnation: None,
-            heard_at: now,
+            last_seen_at: now,
             revision: RevisionNumber(0),
-            backends_hash: 0,
+            backends_digest: 0,
             answers_pulls: false,
-            takes_changes: false,
-            was_heard: false,
-            their_time: 0,
-            leaving: false,
-            fence: None,
-            uses: Vec::new(),
-            work: Vec::new(),
-            told_at: None,
-            wants_digest: false,
+            accepts_changes: false,
+            has_gossiped: false,
+            peer_sent_at: 0,
+            draining: false,
+            fencing_token: None,
+            backend_loads: Vec::new(),
+            service_demand: Vec::new(),
+            reported_at: None,
+            wants_summary: false,
             view: None,
             unanswered_since: None,
-            owes_digest: false,
-            list_sent: None,
-            notices_hash: 0,
-            notices_differ_since: None,
-            notices_sent_at: None,
+            owes_summary: false,
+            sent_list: None,
+            reports_digest: 0,
+            reports_differ_since: None,
+            reports_sent_at: None,
         }
     }
 
-    /// Returns whether it told its news here a moment ago.
-    pub fn tells(&self, now: Timestamp) -> bool {
-        self.told_at.is_some_and(|at| now.since(at) < HEARD_WITHIN)
+    /// Returns whether it sent its state here recently.
+    pub fn is_reporting(&self, now: Timestamp) -> bool {
+        self.reported_at
+            .is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
 
-    fn life_of(&self, incarnation: Incarnation) -> HeardLife {
+    fn compare_incarnation(&self, incarnation: Incarnation) -> SenderIncarnation {
         if self.incarnation == Some(incarnation) {
-            return HeardLife::Known;
+            return SenderIncarnation::Known;
         }
-        HeardLife::New {
+        SenderIncarnation::New {
             replaced: self.incarnation,
         }
     }
 
     fn is_suspect(&self, now: Timestamp) -> bool {
-        let silent = |since| now.since(since) >= SUSPECT_AFTER;
-        self.leaving || self.unanswered_since.is_some_and(silent)
+        let is_overdue = |since| now.since(since) >= SUSPECT_AFTER;
+        self.draining || self.unanswered_since.is_some_and(is_overdue)
     }
 
-    fn fresh_view(&self, now: Timestamp) -> Option<&HubView> {
+    fn recent_view(&self, now: Timestamp) -> Option<&HubView> {
         let (at, view) = self.view.as_ref()?;
-        (now.since(*at) < HUB_HEARD_WITHIN).then_some(view)
+        (now.since(*at) < STANDBY_HUB_TIMEOUT).then_some(view)
     }
 }
 
-/// Whom an entry gives permits for servers with a limit, and which part of it.
+/// The entries to which this one grants permits for servers with a limit, and
+/// their share of the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PermitShare {
-    /// It does not know how many entries there are.
+    /// No entry, because the number of entries is unknown.
     Nobody,
-    /// It hears no other, and gives itself its own part.
+    /// Only this entry, because no other one is reachable.
     Own {
-        /// One part of all.
+        /// The share of one entry.
         fraction: f64,
     },
-    /// It gives to the entries that it answers each round.
+    /// The entries that get a summary from this one in every round.
     Subscribers {
-        /// Their part of all.
+        /// The share of all of them together.
         fraction: f64,
     },
 }
 
-/// What an entry is told of what servers said.
+/// Which server reports to send to another entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOffer {
-    /// Nothing: it knows the same.
+    /// None: it has the same ones.
     Nothing,
-    /// What changed a moment ago.
+    /// Those that changed recently.
     Recent,
-    /// All of it: the entry is new, or changes did not help.
+    /// All: the entry is new, or the changes did not bring it up to date.
     All,
 }
 
-/// What a message tells of its sender's life.
+/// Whether a message comes from a known incarnation of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeardLife {
-    /// It is the one that was heard before.
+pub enum SenderIncarnation {
+    /// The incarnation is the latest known one.
     Known,
-    /// It is new, or the entry started anew after the one that it replaces.
+    /// The sender is new or has restarted.
     New {
-        /// The life that was heard last.
+        /// The latest known incarnation before the restart, if any.
         replaced: Option<Incarnation>,
     },
 }
 
-/// A message that is due to another entry.
+/// A gossip message to be sent to another entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueMessage {
     /// The receiver.
     pub name: EntryName,
-    /// Where it listens.
+    /// The address of the receiver.
     pub address: SocketAddr,
-    /// Whether it is to answer with a digest each round.
+    /// Whether the receiver should reply with a summary in every round.
     pub wants_summary: bool,
-    /// Whether the sender's own news go to it as to a hub.
+    /// Whether the message carries the sender's state, as to a hub.
     pub reports_state: bool,
-    /// Whether it gets a digest.
+    /// Whether the message carries a summary.
     pub has_summary: bool,
-    /// Whether its link hangs and is to be opened anew.
+    /// Whether the connection hangs and must be reopened first.
     pub reopen: bool,
 }
 
-/// The other entries.
+/// The table of the other entries.
 #[derive(Clone, Debug)]
 pub struct PeerTable {
-    own: EntryName,
-    own_strength: HubCapacity,
+    own_name: EntryName,
+    own_capacity: HubCapacity,
     peers: BTreeMap<EntryName, PeerState>,
-    is_listed: bool,
+    is_list_read: bool,
 }
 
-/// Hubs come in this order: the strongest first, then by hash.
+/// The sort key of hubs: the highest capacity first, ties by hash.
 type OrderKey<'a> = (Reverse<HubCapacity>, u64, &'a EntryName);
 
-fn order_key(name: &EntryName, strength: HubCapacity) -> OrderKey<'_> {
+fn order_key(name: &EntryName, hub_capacity: HubCapacity) -> OrderKey<'_> {
     let hash = XxHash64::oneshot(0, name.as_str().as_bytes());
-    (Reverse(strength), hash, name)
+    (Reverse(hub_capacity), hash, name)
 }
 
 impl PeerTable {
-    /// Returns a book of an entry that knows no other.
-    pub fn new(own: EntryName, own_strength: HubCapacity) -> Self {
+    /// Returns an empty table.
+    pub fn new(own_name: EntryName, own_capacity: HubCapacity) -> Self {
         Self {
-            own,
-            own_strength,
+            own_name,
+            own_capacity,
             peers: BTreeMap::new(),
-            is_listed: false,
+            is_list_read: false,
         }
     }
 
-    /// Notes an entry that the store or a hub lists. One that was heard lately
-    /// has told itself where it listens.
+    /// Adds or updates an entry that the store or a hub lists. Recent gossip of
+    /// the entry itself takes precedence over the listed address and capacity.
     pub fn note_listed(
         &mut self,
         now: Timestamp,
         name: EntryName,
         address: SocketAddr,
-        strength: HubCapacity,
+        hub_capacity: HubCapacity,
     ) {
-        if name == self.own {
+        if name == self.own_name {
             return;
         }
-        let listed = || PeerState::listed(now, address, strength);
+        let listed = || PeerState::listed(now, address, hub_capacity);
         let peer = self.peers.entry(name).or_insert_with(listed);
-        let heard_lately = peer.was_heard && now.since(peer.heard_at) < HEARD_WITHIN;
-        if !heard_lately {
+        let is_recent = peer.has_gossiped && now.since(peer.last_seen_at) < PEER_TIMEOUT;
+        if !is_recent {
             peer.address = address;
-            peer.strength = strength;
+            peer.hub_capacity = hub_capacity;
         }
     }
 
-    /// Notes that the store's list of entries was read.
+    /// Records that the list of entries in the store was read.
     pub fn note_list_read(&mut self) {
-        self.is_listed = true;
+        self.is_list_read = true;
     }
 
-    /// Returns whether the store's list of entries was read.
+    /// Returns whether the list of entries in the store was read.
     pub fn is_list_read(&self) -> bool {
-        self.is_listed
+        self.is_list_read
     }
 
-    /// Notes a message. One that is older than the last one of the same life
-    /// changes nothing.
-    pub fn apply_gossip(&mut self, now: Timestamp, news: &GatewayGossip) -> HeardLife {
-        if news.name == self.own {
-            return HeardLife::Known;
+    /// Applies a gossip message. A message that is older than the last one of the
+    /// same incarnation changes nothing.
+    pub fn apply_gossip(&mut self, now: Timestamp, gossip: &GatewayGossip) -> SenderIncarnation {
+        if gossip.name == self.own_name {
+            return SenderIncarnation::Known;
         }
-        self.note_listed(now, news.name.clone(), news.address, news.hub_capacity);
-        let Some(peer) = self.peers.get_mut(&news.name) else {
-            return HeardLife::Known;
+        self.note_listed(
+            now,
+            gossip.name.clone(),
+            gossip.address,
+            gossip.hub_capacity,
+        );
+        let Some(peer) = self.peers.get_mut(&gossip.name) else {
+            return SenderIncarnation::Known;
         };
-        let life = peer.life_of(news.incarnation);
-        if life == HeardLife::Known && news.sent_at <= peer.their_time {
-            return HeardLife::Known;
+        let sender = peer.compare_incarnation(gossip.incarnation);
+        if sender == SenderIncarnation::Known && gossip.sent_at <= peer.peer_sent_at {
+            return SenderIncarnation::Known;
         }
-        if let HeardLife::New { .. } = life {
-            *peer = PeerState::listed(now, news.address, news.hub_capacity);
-            peer.incarnation = Some(news.incarnation);
+        if let SenderIncarnation::New { .. } = sender {
+            *peer = PeerState::listed(now, gossip.address, gossip.hub_capacity);
+            peer.incarnation = Some(gossip.incarnation);
         }
-        peer.heard_at = now;
-        peer.was_heard = true;
+        peer.last_seen_at = now;
+        peer.has_gossiped = true;
         peer.unanswered_since = None;
-        peer.their_time = news.sent_at;
-        peer.revision = news.revision;
-        peer.answers_pulls = news.answers_pulls;
-        peer.takes_changes = news.accepts_changes;
-        peer.backends_hash = news.backends_hash;
-        peer.notices_hash = news.reports_hash;
-        peer.leaving = news.draining;
-        peer.fence = news.fence;
-        if news.reports_state {
-            peer.told_at = Some(now);
-            peer.wants_digest = news.wants_summary;
-            peer.uses.clone_from(&news.backend_loads);
-            peer.work.clone_from(&news.service_demand);
+        peer.peer_sent_at = gossip.sent_at;
+        peer.revision = gossip.revision;
+        peer.answers_pulls = gossip.answers_pulls;
+        peer.accepts_changes = gossip.accepts_changes;
+        peer.backends_digest = gossip.backends_digest;
+        peer.reports_digest = gossip.reports_digest;
+        peer.draining = gossip.draining;
+        peer.fencing_token = gossip.fencing_token;
+        if gossip.reports_state {
+            peer.reported_at = Some(now);
+            peer.wants_summary = gossip.wants_summary;
+            peer.backend_loads.clone_from(&gossip.backend_loads);
+            peer.service_demand.clone_from(&gossip.service_demand);
         }
-        if let Some(view) = &news.view {
+        if let Some(view) = &gossip.view {
             peer.view = Some((now, view.clone()));
         }
-        life
+        sender
     }
 
-    /// Returns what to answer to a peer about the age of the configuration
-    /// and of the list of backend servers.
+    /// Returns the echo that reports to a peer the age of the configuration and
+    /// of the list of backend servers.
     pub fn echo(
         &self,
         name: &EntryName,
-        config_at: Option<Timestamp>,
-        backends_at: Option<Timestamp>,
+        config_confirmed_at: Option<Timestamp>,
+        backends_confirmed_at: Option<Timestamp>,
     ) -> Option<FreshnessEcho> {
         let peer = self.peers.get(name)?;
-        let age = |at: Timestamp| peer.heard_at.0 as i64 - at.0 as i64;
+        let age = |at: Timestamp| peer.last_seen_at.0 as i64 - at.0 as i64;
         Some(FreshnessEcho {
             incarnation: peer.incarnation?,
-            sent_at: peer.their_time,
-            config_age: config_at.map(age),
-            backends_age: backends_at.map(age),
-            fence: peer.fence,
+            sent_at: peer.peer_sent_at,
+            config_age: config_confirmed_at.map(age),
+            backends_age: backends_confirmed_at.map(age),
+            fence: peer.fencing_token,
         })
     }
 
-    /// Returns an entry's state.
+    /// Returns the state of an entry.
     pub fn get(&self, name: &EntryName) -> Option<&PeerState> {
         self.peers.get(name)
     }
 
-    /// Returns the entries that were heard lately with a higher revision than
-    /// `own`, and answer who asks for it: those that may have ended meanwhile
-    /// last, the newest revisions first, and among equals others for each entry
-    /// that asks, so that none has to answer all.
-    pub fn ahead(&self, now: Timestamp, own: RevisionNumber) -> Vec<DocumentSource> {
-        let is_ahead = |peer: &PeerState| {
-            let heard = now.since(peer.heard_at) < HUB_HEARD_WITHIN;
-            peer.revision > own && peer.answers_pulls && heard
+    /// Returns the reachable entries that have a revision above `own_revision`
+    /// and answer pulls, in the order in which to ask them. Entries whose gossip
+    /// is overdue come last, since they may have stopped. Otherwise the highest
+    /// revision comes first. Each entry breaks ties differently, which spreads the
+    /// pulls over the sources.
+    pub fn newer_sources(
+        &self,
+        now: Timestamp,
+        own_revision: RevisionNumber,
+    ) -> Vec<DocumentSource> {
+        let is_newer = |peer: &PeerState| {
+            let is_reachable = now.since(peer.last_seen_at) < STANDBY_HUB_TIMEOUT;
+            peer.revision > own_revision && peer.answers_pulls && is_reachable
         };
-        let ahead = self.peers.iter().filter(|(_, peer)| is_ahead(peer));
-        let mut ranked: Vec<_> = ahead
+        let newer = self.peers.iter().filter(|(_, peer)| is_newer(peer));
+        let mut ranked: Vec<_> = newer
             .map(|(name, peer)| {
-                let silent = now.since(peer.heard_at) >= HEARD_WITHIN;
-                let rank = (silent, Reverse(peer.revision), self.own.pair_hash(name));
+                let is_late = now.since(peer.last_seen_at) >= PEER_TIMEOUT;
+                let rank = (
+                    is_late,
+                    Reverse(peer.revision),
+                    self.own_name.pair_hash(name),
+                );
                 (rank, peer.address)
             })
             .collect();
@@ -350,137 +373,140 @@
             .collect()
     }
 
-    /// Returns the messages that are due in a round, and notes that they are
-    /// sent.
+    /// Returns the messages to be sent in a round, and records them as sent.
     pub fn take_due_messages(&mut self, now: Timestamp, round: u32) -> Vec<DueMessage> {
-        let slow = round.is_multiple_of(SLOW_ROUNDS);
+        let is_slow = round.is_multiple_of(SLOW_ROUND_INTERVAL);
         let hubs = self.hubs(now);
         let primary = self.primary(&hubs);
-        let first = self.first_names(HUB_COUNT);
+        let first = self.first_hubs(HUB_COUNT);
         let mut due = Vec::new();
         for (name, peer) in &mut self.peers {
             let is_hub = hubs.contains(name);
-            // Hubs that do not answer are asked again now and then, so that
-            // all entries agree on the same ones once they are back.
-            let probe = slow && first.contains(name) && !is_hub;
-            let tells = is_hub || probe;
-            let digest = peer.tells(now) && (peer.wants_digest || peer.owes_digest || slow);
-            if !tells && !digest {
+            // Hubs that do not reply are probed in slow rounds, so that all
+            // entries agree on the same hubs again after a recovery.
+            let is_probe = is_slow && first.contains(name) && !is_hub;
+            let reports_state = is_hub || is_probe;
+            let has_summary =
+                peer.is_reporting(now) && (peer.wants_summary || peer.owes_summary || is_slow);
+            if !reports_state && !has_summary {
                 continue;
             }
-            let reopen = peer.is_suspect(now) && slow;
-            peer.owes_digest &= !digest;
-            if tells {
+            let reopen = peer.is_suspect(now) && is_slow;
+            peer.owes_summary &= !has_summary;
+            if reports_state {
                 peer.unanswered_since.get_or_insert(now);
             }
             due.push(DueMessage {
                 name: name.clone(),
                 address: peer.address,
                 wants_summary: primary.as_ref() == Some(name),
-                reports_state: tells,
-                has_summary: digest,
+                reports_state,
+                has_summary,
                 reopen,
             });
         }
         due
     }
 
-    /// Notes that a message was not sent since its link is busy: its digest is
-    /// due in the next round, and its receiver was asked nothing.
+    /// Records that a message was not sent because its link is busy. Its summary
+    /// is due in the next round, and no reply to it is expected.
     pub fn note_skipped(&mut self, now: Timestamp, message: &DueMessage) {
         let Some(peer) = self.peers.get_mut(&message.name) else {
             return;
         };
-        peer.owes_digest |= message.has_summary;
+        peer.owes_summary |= message.has_summary;
         peer.unanswered_since.take_if(|since| *since == now);
     }
 
-    /// Returns whether an entry is to be sent the list of backend servers with
-    /// that digest now. It is not sent again before the entry can have answered.
-    pub fn offers_list(&mut self, now: Timestamp, name: &EntryName, hash: u64) -> bool {
+    /// Returns whether to send an entry the list of backend servers with this
+    /// digest now. The same list is not sent again before the entry can have
+    /// acknowledged it.
+    pub fn should_send_list(&mut self, now: Timestamp, name: &EntryName, digest: u64) -> bool {
         let Some(peer) = self.peers.get_mut(name) else {
             return false;
         };
-        let sent_lately = peer
-            .list_sent
-            .is_some_and(|(sent, at)| sent == hash && now.since(at) < LIST_PAUSE);
-        if !sent_lately {
-            peer.list_sent = Some((hash, now));
+        let was_sent_recently = peer
+            .sent_list
+            .is_some_and(|(sent, at)| sent == digest && now.since(at) < LIST_RESEND_DELAY);
+        if !was_sent_recently {
+            peer.sent_list = Some((digest, now));
         }
-        !sent_lately
+        !was_sent_recently
     }
 
-    /// Returns what an entry is to be told of what servers said, where the own
-    /// knowledge has that digest.
+    /// Returns which server reports to send to an entry. `digest` is the digest
+    /// of the own reports.
     pub fn offer_reports(&mut self, now: Timestamp, name: &EntryName, digest: u64) -> ReportOffer {
         let Some(peer) = self.peers.get_mut(name) else {
             return ReportOffer::Nothing;
         };
-        if peer.notices_hash == digest {
-            peer.notices_differ_since = None;
+        if peer.reports_digest == digest {
+            peer.reports_differ_since = None;
             return ReportOffer::Nothing;
         }
-        let since = *peer.notices_differ_since.get_or_insert(now);
+        let since = *peer.reports_differ_since.get_or_insert(now);
         let is_due = peer
-            .notices_sent_at
-            .is_none_or(|sent_at| now.since(since.max(sent_at)) >= NOTICES_PATIENCE);
+            .reports_sent_at
+            .is_none_or(|sent_at| now.since(since.max(sent_at)) >= REPORTS_RESEND_DELAY);
         if !is_due {
             return ReportOffer::Recent;
         }
-        peer.notices_sent_at = Some(now);
+        peer.reports_sent_at = Some(now);
         ReportOffer::All
     }
 
-    /// Iterates over the entries that this one answers each round, with the work
-    /// that callers bring them.
+    /// Iterates over the entries that get a summary from this one in every round,
+    /// with the demand of their callers.
     pub fn subscribers(
         &self,
         now: Timestamp,
     ) -> impl Iterator<Item = (&EntryName, &[ServiceDemand])> {
-        let asking = self.peers.iter();
-        let asking = asking.filter(move |(_, peer)| peer.wants_digest && peer.tells(now));
-        asking.map(|(name, peer)| (name, peer.work.as_slice()))
+        let subscribers = self.peers.iter();
+        let subscribers =
+            subscribers.filter(move |(_, peer)| peer.wants_summary && peer.is_reporting(now));
+        subscribers.map(|(name, peer)| (name, peer.service_demand.as_slice()))
     }
 
-    /// Returns whom this entry gives permits, and its part of each limit. Before
-    /// it knows how many others there are, any part may be too much.
+    /// Returns the entries to which this one grants permits, and their share of
+    /// each limit. While the number of entries is unknown, any share may be too
+    /// much.
     pub fn permit_share(&self, now: Timestamp) -> PermitShare {
-        let view = self.entry_counts(now);
-        let told = self
+        let counts = self.entry_counts(now);
+        let has_view = self
             .peers
             .values()
-            .any(|peer| peer.fresh_view(now).is_some());
-        if !self.is_listed && !told {
+            .any(|peer| peer.recent_view(now).is_some());
+        if !self.is_list_read && !has_view {
             return PermitShare::Nobody;
         }
-        let entries = view.entries.max(1) as f64;
-        if view.reachable <= 1 {
+        let entries = counts.entries.max(1) as f64;
+        if counts.reachable <= 1 {
             return PermitShare::Own {
                 fraction: 1.0 / entries,
             };
         }
-        let answered = self.subscribers(now).count() as f64;
+        let subscribers = self.subscribers(now).count() as f64;
         PermitShare::Subscribers {
-            fraction: answered / entries,
+            fraction: subscribers / entries,
         }
     }
 
-    /// Returns the hub that answers this entry each round. Entries choose
-    /// different ones, so that no hub's link carries all answers.
+    /// Returns the primary hub of this entry, which replies in every round.
+    /// Entries choose different hubs, so that no single link carries all replies.
     fn primary(&self, hubs: &[EntryName]) -> Option<EntryName> {
-        let number = XxHash64::oneshot(1, self.own.as_str().as_bytes());
+        let number = XxHash64::oneshot(1, self.own_name.as_str().as_bytes());
         let index = number.checked_rem(hubs.len() as u64)?;
         hubs.get(index as usize).cloned()
     }
 
-    fn first_names(&self, count: usize) -> Vec<EntryName> {
-        first_of(self.peers.iter(), count)
+    fn first_hubs(&self, count: usize) -> Vec<EntryName> {
+        first_in_order(self.peers.iter(), count)
     }
 
-    /// Returns the hubs that this entry tells its news, in order.
+    /// Returns the hubs to which this entry sends its state, in order.
     fn hubs(&self, now: Timestamp) -> Vec<EntryName> {
-        let usable = self.peers.iter().filter(|(_, peer)| !peer.is_suspect(now));
-        first_of(usable, HUB_COUNT)
+        let responsive = self.peers.iter().filter(|(_, peer)| !peer.is_suspect(now));
+        first_in_order(responsive, HUB_COUNT)
     }
 
     /// Returns the names of the hubs, in order.
@@ -488,128 +514,147 @@
         self.hubs(now)
     }
 
-    /// Returns the hubs with their addresses, to be passed on.
+    /// Returns the hubs with their addresses, to be sent to other entries. Hubs
+    /// without gossip so far are left out.
     pub fn hub_addresses(&self, now: Timestamp) -> Vec<(EntryName, SocketAddr, HubCapacity)> {
         let hubs = self.hubs(now);
-        let known = |name: EntryName| {
+        let address = |name: EntryName| {
             let peer = self.peers.get(&name)?;
-            peer.was_heard
-                .then_some((name, peer.address, peer.strength))
+            peer.has_gossiped
+                .then_some((name, peer.address, peer.hub_capacity))
         };
-        hubs.into_iter().filter_map(known).collect()
+        hubs.into_iter().filter_map(address).collect()
     }
 
-    /// Returns how many entries that may be hubs come before this one.
+    /// Returns the place of this entry in the order of hubs: how many responsive
+    /// entries come before it.
     pub fn hub_rank(&self, now: Timestamp) -> usize {
-        let own = order_key(&self.own, self.own_strength);
-        let earlier = |name, peer: &PeerState| order_key(name, peer.strength) < own;
-        let before = self.peers.iter().filter(|(name, peer)| earlier(name, peer));
+        let own_key = order_key(&self.own_name, self.own_capacity);
+        let is_earlier = |name, peer: &PeerState| order_key(name, peer.hub_capacity) < own_key;
+        let before = self
+            .peers
+            .iter()
+            .filter(|(name, peer)| is_earlier(name, peer));
         before.filter(|(_, peer)| !peer.is_suspect(now)).count()
     }
 
-    /// Forgets entries that are silent for long; returns their lives.
-    pub fn forget_silent(&mut self, now: Timestamp) -> Vec<Incarnation> {
-        // Most entries never talk to this one, so only those that did or that
-        // were asked can fall silent.
-        let silent = |peer: &PeerState| {
-            let asked = peer.was_heard || peer.unanswered_since.is_some();
-            asked && now.since(peer.heard_at) > FORGET_AFTER
+    /// Removes entries without gossip for a long time; returns their incarnations.
+    pub fn remove_unreachable(&mut self, now: Timestamp) -> Vec<Incarnation> {
+        // Most entries never send gossip to this one. Only those that have sent
+        // some, or that owe a reply, can expire.
+        let is_expired = |peer: &PeerState| {
+            let is_contact = peer.has_gossiped || peer.unanswered_since.is_some();
+            is_contact && now.since(peer.last_seen_at) > PEER_EXPIRY
         };
-        let gone: Vec<Incarnation> = self
+        let expired: Vec<Incarnation> = self
             .peers
             .values()
-            .filter(|peer| silent(peer))
+            .filter(|peer| is_expired(peer))
             .filter_map(|peer| peer.incarnation)
             .collect();
-        self.peers.retain(|_, peer| !silent(peer));
-        gone
+        self.peers.retain(|_, peer| !is_expired(peer));
+        expired
     }
 
-    /// Returns how many entries share limits, and how many are heard, by this
-    /// entry itself or by the hub that hears the most.
+    /// Returns how many entries share limits, and how many of them are reachable.
+    /// The count of this entry or of a hub is used, whichever reaches the most.
     pub fn entry_counts(&self, now: Timestamp) -> ShareView {
-        let own = self.direct_entry_counts(now);
-        let views = self.peers.values().filter_map(|peer| peer.fresh_view(now));
-        let told = views.map(|view| ShareView {
-            entries: view.entries.max(own.entries),
+        let direct = self.direct_entry_counts(now);
+        let views = self.peers.values().filter_map(|peer| peer.recent_view(now));
+        let relayed = views.map(|view| ShareView {
+            entries: view.entries.max(direct.entries),
             reachable: view.reachable,
         });
-        told.chain([own])
-            .max_by_key(|view| view.reachable)
-            .unwrap_or(own)
+        relayed
+            .chain([direct])
+            .max_by_key(|counts| counts.reachable)
+            .unwrap_or(direct)
     }
 
-    /// Returns how many entries share limits, and how many tell their news here.
-    /// Only this may be passed on: what hubs say of each other would keep
-    /// entries alive that are gone.
+    /// Returns how many entries share limits, and how many of them send their
+    /// state here. Only these counts may be sent to other entries: if hubs relayed
+    /// the counts of each other, entries that are gone would still be counted.
     pub fn direct_entry_counts(&self, now: Timestamp) -> ShareView {
         ShareView {
             entries: self.peers.len() + 1,
-            reachable: self.peers.values().filter(|peer| peer.tells(now)).count() + 1,
+            reachable: self
+                .peers
+                .values()
+                .filter(|peer| peer.is_reporting(now))
+                .count()
+                + 1,
         }
     }
 
-    /// Returns the highest fence that another entry is heard to hold.
+    /// Returns the highest fencing token that another entry reports, directly or
+    /// through a hub.
     pub fn highest_fence(&self, now: Timestamp) -> Option<FenceToken> {
-        let direct = self.peers.values().filter(|peer| peer.tells(now));
-        let direct = direct.filter_map(|peer| peer.fence);
-        let views = self.peers.values().filter_map(|peer| peer.fresh_view(now));
-        direct.chain(views.filter_map(|view| view.fence)).max()
+        let direct = self.peers.values().filter(|peer| peer.is_reporting(now));
+        let direct = direct.filter_map(|peer| peer.fencing_token);
+        let views = self.peers.values().filter_map(|peer| peer.recent_view(now));
+        direct
+            .chain(views.filter_map(|view| view.fencing_token))
+            .max()
     }
 
-    /// Returns the fence that an entry told last.
-    pub fn fence_of(&self, name: &EntryName) -> Option<FenceToken> {
-        self.peers.get(name)?.fence
+    /// Returns the fencing token in the last gossip of an entry.
+    pub fn fencing_token_of(&self, name: &EntryName) -> Option<FenceToken> {
+        self.peers.get(name)?.fencing_token
     }
 
-    /// Returns the highest fence that an entry told here itself.
-    pub fn told_fence(&self, now: Timestamp) -> Option<FenceToken> {
-        let direct = self.peers.values().filter(|peer| peer.tells(now));
-        direct.filter_map(|peer| peer.fence).max()
+    /// Returns the highest fencing token in the gossip that came here directly.
+    pub fn highest_direct_fence(&self, now: Timestamp) -> Option<FenceToken> {
+        let direct = self.peers.values().filter(|peer| peer.is_reporting(now));
+        direct.filter_map(|peer| peer.fencing_token).max()
     }
 
-    /// Iterates over the work that callers bring for a service to each of the
-    /// entries that tell.
+    /// Iterates over the demand for a service at each entry that sends its state
+    /// here.
     pub fn service_demand<'a>(
         &'a self,
         now: Timestamp,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = &'a ServiceDemand> {
-        let telling = self.peers.values().filter(move |peer| peer.tells(now));
-        telling
-            .flat_map(|peer| &peer.work)
-            .filter(|work| work.service == service.as_str())
-    }
-
-    /// Sums the load that other entries put on each backend server: what they
-    /// told here, or what the hub that hears the most told.
-    pub fn uses(&self, now: Timestamp) -> BTreeMap<BackendId, BackendUse> {
-        let told = self.direct_entry_counts(now).reachable;
-        let views = self.peers.values().filter_map(|peer| peer.fresh_view(now));
+        let reporting = self
+            .peers
+            .values()
+            .filter(move |peer| peer.is_reporting(now));
+        reporting
+            .flat_map(|peer| &peer.service_demand)
+            .filter(|demand| demand.service == service.as_str())
+    }
+
+    /// Sums the load that other entries put on each backend server. The sums come
+    /// from the hub that reaches the most entries, or from the gossip that came
+    /// here directly if this entry reaches as many.
+    pub fn backend_loads(&self, now: Timestamp) -> BTreeMap<BackendId, BackendLoad> {
+        let direct = self.direct_entry_counts(now).reachable;
+        let views = self.peers.values().filter_map(|peer| peer.recent_view(now));
         match views.max_by_key(|view| view.reachable) {
-            Some(view) if view.reachable > told => sum_uses(&view.backend_loads),
-            _ => self.direct_uses(now),
+            Some(view) if view.reachable > direct => sum_loads(&view.backend_loads),
+            _ => self.direct_backend_loads(now),
         }
     }
 
-    /// Sums the load that other entries told here, to be passed on.
-    pub fn direct_uses(&self, now: Timestamp) -> BTreeMap<BackendId, BackendUse> {
-        let telling = self.peers.values().filter(|peer| peer.tells(now));
-        sum_uses(telling.flat_map(|peer| &peer.uses))
+    /// Sums the load that other entries reported here directly, to be sent to
+    /// other entries.
+    pub fn direct_backend_loads(&self, now: Timestamp) -> BTreeMap<BackendId, BackendLoad> {
+        let reporting = self.peers.values().filter(|peer| peer.is_reporting(now));
+        sum_loads(reporting.flat_map(|peer| &peer.backend_loads))
     }
 
-    /// Returns the load of one entry as it told, to be left out of its digest.
-    pub fn uses_of(&self, name: &EntryName) -> &[BackendUse] {
-        self.peers.get(name).map_or(&[], |peer| &peer.uses)
+    /// Returns the load that one entry reported, to be subtracted in its summary.
+    pub fn backend_loads_of(&self, name: &EntryName) -> &[BackendLoad] {
+        self.peers.get(name).map_or(&[], |peer| &peer.backend_loads)
     }
 }
 
-fn first_of<'a>(
+fn first_in_order<'a>(
     peers: impl Iterator<Item = (&'a EntryName, &'a PeerState)>,
     count: usize,
 ) -> Vec<EntryName> {
     let mut ordered: Vec<OrderKey<'_>> = peers
-        .map(|(name, peer)| order_key(name, peer.strength))
+        .map(|(name, peer)| order_key(name, peer.hub_capacity))
         .collect();
     ordered.sort();
     ordered.truncate(count);
@@ -619,25 +664,27 @@
         .collect()
 }
 
-fn sum_uses<'a>(uses: impl IntoIterator<Item = &'a BackendUse>) -> BTreeMap<BackendId, BackendUse> {
+fn sum_loads<'a>(
+    loads: impl IntoIterator<Item = &'a BackendLoad>,
+) -> BTreeMap<BackendId, BackendLoad> {
     let mut sums = BTreeMap::new();
-    add_uses(&mut sums, uses);
+    add_loads(&mut sums, loads);
     sums
 }
 
-/// Adds loads to the sums of backend servers.
-pub fn add_uses<'a>(
-    sums: &mut BTreeMap<BackendId, BackendUse>,
-    uses: impl IntoIterator<Item = &'a BackendUse>,
+/// Adds loads to the sums by backend server.
+pub fn add_loads<'a>(
+    sums: &mut BTreeMap<BackendId, BackendLoad>,
+    loads: impl IntoIterator<Item = &'a BackendLoad>,
 ) {
-    for one in uses {
-        match sums.get_mut(&one.id()) {
+    for load in loads {
+        match sums.get_mut(&load.id()) {
             Some(sum) => {
-                sum.in_flight += one.in_flight;
-                sum.unread += one.unread;
+                sum.in_flight += load.in_flight;
+                sum.unread += load.unread;
             }
             None => {
-                sums.insert(one.id(), one.clone());
+                sums.insert(load.id(), load.clone());
             }
         }
     }
--- a/lib/tests/test_damaged_input.rs
+++ b/lib/tests/test_damaged_input.rs
@@ -1,8 +1,8 @@
-//! Every decoder of the library, on whole input that was damaged anywhere.
+//! Every decoder of the library, on valid input that is then damaged at random.
 //!
-//! Nothing panics, and what is read in spite of the damage means the same when
-//! it is written and read again. Short and seeded here; by hand
-//! `PROPTEST_CASES=200000` runs for minutes.
+//! No decoder panics, and what is decoded in spite of the damage stays the same
+//! when it is encoded and decoded again. The cases are few and seeded; set
+//! `PROPTEST_CASES=200000` to run for minutes.
 
 use std::time::Duration;
 
@@ -30,9 +30,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const LEAST_CASES: u32 = 1_000;
-/// A document packed from this many equal bytes is a hundredth as long.
-const LONG_DOCUMENT: usize = 100_000;
+const MIN_CASES: u32 = 1_000;
+/// The length of the document before packing, in bytes. All its bytes are equal, so
+/// the packed form is a hundredth as long.
+const DOCUMENT_BYTES: usize = 100_000;
 
 const ENTRY_SETTINGS: &str = "[entry]\nname = entry-1\nzone = dakar-a\n\
     http_address = 127.0.0.1:8101\npeer_address = 127.0.0.1:8201\n\n\
@@ -55,7 +56,7 @@
     "\n"
 );
 
-/// Bytes that take the place of others.
+/// A replacement of some bytes by others.
 #[derive(Clone, Debug)]
 struct Damage {
     at: prop::sample::Index,
@@ -78,26 +79,26 @@
     prop::collection::vec(damage, 1..4)
 }
 
-fn damaged(whole: &[u8], damages: &[Damage]) -> Vec<u8> {
-    let mut bytes = whole.to_vec();
+fn damaged(intact: &[u8], damages: &[Damage]) -> Vec<u8> {
+    let mut bytes = intact.to_vec();
     for damage in damages {
         damage.apply(&mut bytes);
     }
     bytes
 }
 
-fn damaged_text(whole: &str, damages: &[Damage]) -> String {
-    String::from_utf8_lossy(&damaged(whole.as_bytes(), damages)).into_owned()
+fn damaged_text(intact: &str, damages: &[Damage]) -> String {
+    String::from_utf8_lossy(&damaged(intact.as_bytes(), damages)).into_owned()
 }
 
-fn news() -> GatewayGossip {
+fn gossip() -> GatewayGossip {
     let crashes = [(IncarnationDigest(6), Duration::from_millis(7))];
     GatewayGossip {
         sent_at: 5,
         revision: RevisionNumber(1),
         reports_state: true,
         wants_summary: true,
-        backends_hash: 3,
+        backends_digest: 3,
         crashes: vec![CrashReport {
             digest: CallDigest(5),
             record: CrashRecord {
@@ -117,7 +118,7 @@
 
 fn peer_messages() -> Vec<PeerMessage> {
     vec![
-        PeerMessage::News(Box::new(news())),
+        PeerMessage::News(Box::new(gossip())),
         PeerMessage::DocumentPull(DocumentPull {
             reply_to: "127.0.0.1:9".parse().unwrap(),
             revision: RevisionNumber(4),
@@ -141,7 +142,7 @@
         ..ProptestConfig::default()
     };
     ProptestConfig {
-        cases: config.cases.max(LEAST_CASES),
+        cases: config.cases.max(MIN_CASES),
         ..config
     }
 }
@@ -150,53 +151,53 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn messages_between_entries(which in 0_usize..3, damages in damages()) {
-        let whole = peer_messages()[which].clone().encode();
-        let Ok(read) = PeerMessage::decode(damaged(&whole, &damages).into()) else {
+    fn decoding_messages_between_entries(which in 0_usize..3, damages in damages()) {
+        let intact = peer_messages()[which].clone().encode();
+        let Ok(decoded) = PeerMessage::decode(damaged(&intact, &damages).into()) else {
             return Ok(());
         };
-        let again = PeerMessage::decode(read.clone().encode());
-        prop_assert_eq!(format!("{again:?}"), format!("{:?}", Ok::<_, ()>(read)));
+        let redecoded = PeerMessage::decode(decoded.clone().encode());
+        prop_assert_eq!(format!("{redecoded:?}"), format!("{:?}", Ok::<_, ()>(decoded)));
     }
 
     #[test]
-    fn packed_documents(damages in damages()) {
-        let whole = PackedDocument::pack(&vec![7; LONG_DOCUMENT]).unwrap();
-        let read = PackedDocument::from_packed(damaged(whole.bytes(), &damages).into());
-        let _ = read.unpack();
+    fn unpacking_documents(damages in damages()) {
+        let intact = PackedDocument::pack(&vec![7; DOCUMENT_BYTES]).unwrap();
+        let decoded = PackedDocument::from_packed(damaged(intact.bytes(), &damages).into());
+        let _ = decoded.unpack();
     }
 
     #[test]
-    fn settings_of_both_interfaces(damages in damages()) {
+    fn parsing_settings_of_both_interfaces(damages in damages()) {
         let _ = EntrySettings::parse("entry.ini", &damaged_text(ENTRY_SETTINGS, &damages));
         let _ = GatewaySettings::parse("gateway.ini", &damaged_text(GATEWAY_SETTINGS, &damages));
     }
 
     #[test]
-    fn records_of_duties(which in 0_usize..3, damages in damages()) {
+    fn decoding_duty_records(which in 0_usize..3, damages in damages()) {
         let bytes = damaged(DUTY_RECORDS[which].as_bytes(), &damages);
-        let Ok(read) = serde_json::from_slice::<DutyRecord>(&bytes) else {
+        let Ok(decoded) = serde_json::from_slice::<DutyRecord>(&bytes) else {
             return Ok(());
         };
-        let written = serde_json::to_vec(&read).unwrap();
-        prop_assert_eq!(serde_json::from_slice::<DutyRecord>(&written).unwrap(), read);
+        let encoded = serde_json::to_vec(&decoded).unwrap();
+        prop_assert_eq!(serde_json::from_slice::<DutyRecord>(&encoded).unwrap(), decoded);
     }
 
     #[test]
-    fn published_configurations(damages in damages()) {
-        let whole = serde_json::to_string(&cold_chain()).unwrap();
-        let _ = ConfigView::parse("published.json", &damaged_text(&whole, &damages));
+    fn parsing_published_configurations(damages in damages()) {
+        let intact = serde_json::to_string(&cold_chain()).unwrap();
+        let _ = ConfigView::parse("published.json", &damaged_text(&intact, &damages));
     }
 
     #[test]
-    fn lines_of_logs(damages in damages()) {
+    fn reading_log_lines(damages in damages()) {
         let text = damaged_text(LOG_LINES, &damages);
         let _ = read_lines(&text);
         let _ = read_losses(&text);
     }
 
     #[test]
-    fn digests_of_requests(text in "[0-9a-fA-F+\\-]{0,20}") {
+    fn parsing_request_digests(text in "[0-9a-fA-F+\\-]{0,20}") {
         if let Ok(digest) = text.parse::<CallDigest>() {
             prop_assert_eq!(digest.to_string().parse::<CallDigest>(), Ok(digest));
         }
--- a/lib/tests/test_gateway_peers.rs
+++ b/lib/tests/test_gateway_peers.rs
@@ -1,4 +1,5 @@
-//! Hubs, digests and the frames between gateway entries.
+//! Hubs, their summaries, gossip frames between gateway entries, and the splitting
+//! of event streams.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 use cloverbend::gateway::gossip_frame::GatewayGossipFrame;
 use cloverbend::gateway::hub_capacity::HubCapacity;
 use cloverbend::gateway::list_history::ListChanges;
-use cloverbend::gateway::peer_gossip::BackendUse;
+use cloverbend::gateway::peer_gossip::BackendLoad;
 use cloverbend::gateway::peer_gossip::FreshnessEcho;
 use cloverbend::gateway::peer_gossip::GatewayGossip;
 use cloverbend::gateway::peer_gossip::HubSummary;
@@ -24,8 +25,8 @@
 use cloverbend::gateway::peer_gossip::WindowCount;
 use cloverbend::gateway::peer_table::DueMessage;
 use cloverbend::gateway::peer_table::HUB_COUNT;
-use cloverbend::gateway::peer_table::HeardLife;
 use cloverbend::gateway::peer_table::PeerTable;
+use cloverbend::gateway::peer_table::SenderIncarnation;
 use cloverbend::gateway::report_table::RelayedReport;
 use cloverbend::gateway::send_permits::LimitedSends;
 use cloverbend::gateway::send_permits::PermitGrant;
@@ -40,13 +41,13 @@
 use prost::Message;
 
 const ROUND_MS: u64 = 250;
-const STRENGTH: HubCapacity = HubCapacity(100);
+const HUB_CAPACITY: HubCapacity = HubCapacity(100);
 
 fn name(number: usize) -> EntryName {
     format!("entry-{number}").parse().unwrap()
 }
 
-fn news(number: usize, sent_at: u64) -> GatewayGossip {
+fn gossip(number: usize, sent_at: u64) -> GatewayGossip {
     GatewayGossip {
         sent_at,
         revision: RevisionNumber(1),
@@ -54,37 +55,37 @@
             Incarnation(number as u64 + 1),
             name(number),
             format!("127.0.0.1:{}", 1_000 + number).parse().unwrap(),
-            STRENGTH,
+            HUB_CAPACITY,
         )
     }
 }
 
-/// Entries that run rounds and hand their messages over at once.
-struct PeerWorld {
-    books: Vec<PeerTable>,
-    dead: Vec<usize>,
+/// Entries that run gossip rounds and deliver their messages immediately.
+struct PeerCluster {
+    tables: Vec<PeerTable>,
+    stopped: Vec<usize>,
     sent: usize,
     round: u32,
 }
 
-impl PeerWorld {
+impl PeerCluster {
     fn new(count: usize) -> Self {
-        let mut books: Vec<PeerTable> = (0..count)
-            .map(|n| PeerTable::new(name(n), STRENGTH))
+        let mut tables: Vec<PeerTable> = (0..count)
+            .map(|n| PeerTable::new(name(n), HUB_CAPACITY))
             .collect();
-        for book in &mut books {
+        for table in &mut tables {
             for number in 0..count {
-                book.note_listed(
+                table.note_listed(
                     Timestamp(0),
                     name(number),
-                    news(number, 0).address,
-                    STRENGTH,
+                    gossip(number, 0).address,
+                    HUB_CAPACITY,
                 );
             }
         }
         Self {
-            books,
-            dead: Vec::new(),
+            tables,
+            stopped: Vec::new(),
             sent: 0,
             round: 0,
         }
@@ -98,11 +99,11 @@
         for _ in 0..rounds {
             self.round += 1;
             let now = self.now();
-            for sender in 0..self.books.len() {
-                if self.dead.contains(&sender) {
+            for sender in 0..self.tables.len() {
+                if self.stopped.contains(&sender) {
                     continue;
                 }
-                for message in self.books[sender].take_due_messages(now, self.round) {
+                for message in self.tables[sender].take_due_messages(now, self.round) {
                     self.sent += 1;
                     self.deliver(
                         sender,
@@ -120,39 +121,39 @@
         &mut self,
         sender: usize,
         to: &EntryName,
-        tells: bool,
-        digest: bool,
+        reports_state: bool,
+        has_summary: bool,
         now: Timestamp,
     ) {
-        let receiver = (0..self.books.len())
+        let receiver = (0..self.tables.len())
             .find(|number| name(*number) == *to)
             .unwrap();
-        if self.dead.contains(&receiver) {
+        if self.stopped.contains(&receiver) {
             return;
         }
-        let mut message = news(sender, now.0);
-        message.reports_state = tells;
-        message.wants_summary = tells;
-        let share = self.books[sender].direct_entry_counts(now);
-        message.view = digest.then(|| HubView {
-            entries: share.entries,
-            reachable: share.reachable,
-            fence: None,
+        let mut message = gossip(sender, now.0);
+        message.reports_state = reports_state;
+        message.wants_summary = reports_state;
+        let counts = self.tables[sender].direct_entry_counts(now);
+        message.view = has_summary.then(|| HubView {
+            entries: counts.entries,
+            reachable: counts.reachable,
+            fencing_token: None,
             backend_loads: Vec::new(),
         });
-        self.books[receiver].apply_gossip(now, &message);
+        self.tables[receiver].apply_gossip(now, &message);
     }
 
-    fn heard(&self) -> Vec<usize> {
+    fn reachable(&self) -> Vec<usize> {
         let now = self.now();
-        let living = (0..self.books.len()).filter(|number| !self.dead.contains(number));
-        living
-            .map(|number| self.books[number].entry_counts(now).reachable)
+        let running = (0..self.tables.len()).filter(|number| !self.stopped.contains(number));
+        running
+            .map(|number| self.tables[number].entry_counts(now).reachable)
             .collect()
     }
 
     fn first_hubs(&self) -> Vec<usize> {
-        let ranks = self.books.iter().map(|book| book.hub_rank(self.now()));
+        let ranks = self.tables.iter().map(|table| table.hub_rank(self.now()));
         let mut ranked: Vec<(usize, usize)> = ranks.zip(0..).collect();
         ranked.sort_unstable();
         ranked.into_iter().map(|(_, number)| number).collect()
@@ -160,17 +161,17 @@
 }
 
 #[test]
-fn every_entry_knows_through_a_hub_how_many_there_are() {
-    let mut world = PeerWorld::new(20);
-    world.run(8);
-    assert_eq!(world.heard(), vec![20; 20]);
+fn hubs_report_the_number_of_entries_to_every_entry() {
+    let mut cluster = PeerCluster::new(20);
+    cluster.run(8);
+    assert_eq!(cluster.reachable(), vec![20; 20]);
 }
 
 #[test]
-fn messages_grow_with_the_entries_and_not_with_their_square() {
-    let mut small = PeerWorld::new(20);
+fn the_number_of_messages_grows_linearly_with_the_entries() {
+    let mut small = PeerCluster::new(20);
     small.run(40);
-    let mut large = PeerWorld::new(80);
+    let mut large = PeerCluster::new(80);
     large.run(40);
     assert!(
         large.sent <= small.sent * 5,
@@ -181,34 +182,34 @@
 }
 
 #[test]
-fn answers_of_each_round_are_spread_over_the_hubs() {
-    let mut answers = std::collections::BTreeMap::new();
+fn replies_of_each_round_are_spread_over_the_hubs() {
+    let mut replies = std::collections::BTreeMap::new();
     for number in 0..60 {
-        let mut book = PeerTable::new(name(number), STRENGTH);
+        let mut table = PeerTable::new(name(number), HUB_CAPACITY);
         for other in 0..60 {
-            let address = news(other, 0).address;
-            book.note_listed(Timestamp(0), name(other), address, STRENGTH);
+            let address = gossip(other, 0).address;
+            table.note_listed(Timestamp(0), name(other), address, HUB_CAPACITY);
         }
-        let due = book.take_due_messages(Timestamp(1), 1);
+        let due = table.take_due_messages(Timestamp(1), 1);
         let primary = due.into_iter().find(|message| message.wants_summary);
-        *answers.entry(primary.unwrap().name).or_insert(0) += 1;
+        *replies.entry(primary.unwrap().name).or_insert(0) += 1;
     }
-    assert!(answers.values().all(|count| *count <= 30), "{answers:?}");
+    assert!(replies.values().all(|count| *count <= 30), "{replies:?}");
 }
 
 #[test]
-fn weak_vms_are_hubs_only_if_there_are_no_others() {
-    let mut book = PeerTable::new(name(0), HubCapacity(10));
+fn vms_with_low_capacity_are_hubs_only_if_there_are_no_others() {
+    let mut table = PeerTable::new(name(0), HubCapacity(10));
     for number in 1..10 {
-        let strength = HubCapacity(if number < 3 { 200 } else { 10 });
-        book.note_listed(
+        let hub_capacity = HubCapacity(if number < 3 { 200 } else { 10 });
+        table.note_listed(
             Timestamp(0),
             name(number),
-            news(number, 0).address,
-            strength,
+            gossip(number, 0).address,
+            hub_capacity,
         );
     }
-    let hubs: Vec<EntryName> = book
+    let hubs: Vec<EntryName> = table
         .take_due_messages(Timestamp(1), 1)
         .into_iter()
         .map(|due| due.name)
@@ -218,72 +219,72 @@
         hubs.contains(&name(1)) && hubs.contains(&name(2)),
         "{hubs:?}"
     );
-    assert!(book.hub_rank(Timestamp(1)) >= 2);
+    assert!(table.hub_rank(Timestamp(1)) >= 2);
     assert_eq!(HubCapacity::of(10.0, 0.5), HubCapacity(10));
     assert_eq!(HubCapacity::of(200.0, 0.12), HubCapacity(48));
 }
 
 #[test]
-fn hubs_that_die_are_replaced() {
-    let mut world = PeerWorld::new(12);
-    world.run(8);
-    world.dead = world.first_hubs()[..HUB_COUNT].to_vec();
-    world.run(40);
-    assert_eq!(world.heard(), vec![12 - HUB_COUNT; 12 - HUB_COUNT]);
-    let living = world.first_hubs();
-    let first = living
+fn stopped_hubs_are_replaced() {
+    let mut cluster = PeerCluster::new(12);
+    cluster.run(8);
+    cluster.stopped = cluster.first_hubs()[..HUB_COUNT].to_vec();
+    cluster.run(40);
+    assert_eq!(cluster.reachable(), vec![12 - HUB_COUNT; 12 - HUB_COUNT]);
+    let running = cluster.first_hubs();
+    let first = running
         .iter()
-        .find(|number| !world.dead.contains(number))
+        .find(|number| !cluster.stopped.contains(number))
         .unwrap();
-    assert_eq!(world.books[*first].hub_rank(world.now()), 0);
+    assert_eq!(cluster.tables[*first].hub_rank(cluster.now()), 0);
 }
 
 #[test]
-fn an_entry_alone_knows_it() {
-    let mut world = PeerWorld::new(5);
-    world.run(8);
-    world.dead = vec![0, 1, 2, 3];
-    world.run(20);
-    assert_eq!(world.heard(), vec![1]);
+fn the_last_running_entry_counts_only_itself() {
+    let mut cluster = PeerCluster::new(5);
+    cluster.run(8);
+    cluster.stopped = vec![0, 1, 2, 3];
+    cluster.run(20);
+    assert_eq!(cluster.reachable(), vec![1]);
 }
 
 #[test]
-fn news_of_an_earlier_moment_change_nothing() {
-    let mut book = PeerTable::new(name(0), STRENGTH);
-    let mut newer = news(1, 500);
+fn an_older_message_changes_nothing() {
+    let mut table = PeerTable::new(name(0), HUB_CAPACITY);
+    let mut newer = gossip(1, 500);
     newer.reports_state = true;
-    newer.fence = Some(FenceToken(7));
-    let life = book.apply_gossip(Timestamp(1_000), &newer);
-    assert_eq!(life, HeardLife::New { replaced: None });
-    let mut older = news(1, 400);
+    newer.fencing_token = Some(FenceToken(7));
+    let sender = table.apply_gossip(Timestamp(1_000), &newer);
+    assert_eq!(sender, SenderIncarnation::New { replaced: None });
+    let mut older = gossip(1, 400);
     older.reports_state = true;
     assert_eq!(
-        book.apply_gossip(Timestamp(1_100), &older),
-        HeardLife::Known
+        table.apply_gossip(Timestamp(1_100), &older),
+        SenderIncarnation::Known
     );
-    assert_eq!(book.highest_fence(Timestamp(1_200)), Some(FenceToken(7)));
+    assert_eq!(table.highest_fence(Timestamp(1_200)), Some(FenceToken(7)));
 }
 
-/// The list is read as a log, in which an entry that started again stands twice.
+/// The list of entries is a log, in which an entry that restarted appears twice.
 #[test]
-fn an_entry_that_was_not_heard_is_where_it_was_listed_last() {
-    let mut book = PeerTable::new(name(0), STRENGTH);
-    let [first, last] = [news(1, 0).address, news(2, 0).address];
-    book.note_listed(Timestamp(1_000), name(1), first, STRENGTH);
-    book.note_listed(Timestamp(1_000), name(1), last, STRENGTH);
-    assert_eq!(book.get(&name(1)).unwrap().address, last);
-    book.apply_gossip(Timestamp(2_000), &news(1, 500));
-    book.note_listed(Timestamp(2_100), name(1), last, STRENGTH);
-    assert_eq!(book.get(&name(1)).unwrap().address, first);
+fn an_entry_without_gossip_has_the_address_listed_last() {
+    let mut table = PeerTable::new(name(0), HUB_CAPACITY);
+    let [first, last] = [gossip(1, 0).address, gossip(2, 0).address];
+    table.note_listed(Timestamp(1_000), name(1), first, HUB_CAPACITY);
+    table.note_listed(Timestamp(1_000), name(1), last, HUB_CAPACITY);
+    assert_eq!(table.get(&name(1)).unwrap().address, last);
+    table.apply_gossip(Timestamp(2_000), &gossip(1, 500));
+    table.note_listed(Timestamp(2_100), name(1), last, HUB_CAPACITY);
+    assert_eq!(table.get(&name(1)).unwrap().address, first);
 }
 
 #[test]
-fn the_age_of_knowledge_is_counted_from_the_message_that_is_answered() {
-    let mut book = PeerTable::new(name(0), STRENGTH);
-    let mut heard = news(1, 500);
-    heard.fence = Some(FenceToken(7));
-    book.apply_gossip(Timestamp(9_000), &heard);
-    let echo = book.echo(&name(1), Some(Timestamp(7_000)), Some(Timestamp(9_500)));
+fn ages_in_an_echo_are_counted_from_the_echoed_message() {
+    let mut table = PeerTable::new(name(0), HUB_CAPACITY);
+    let mut received = gossip(1, 500);
+    received.fencing_token = Some(FenceToken(7));
+    table.apply_gossip(Timestamp(9_000), &received);
+    let echo = table.echo(&name(1), Some(Timestamp(7_000)), Some(Timestamp(9_500)));
     let expected = FreshnessEcho {
         incarnation: Incarnation(2),
         sent_at: 500,
@@ -295,112 +296,112 @@
 }
 
 #[test]
-fn a_life_that_replaces_another_names_it() {
-    let mut book = PeerTable::new(name(0), STRENGTH);
-    let mut heard = news(1, 500);
-    book.apply_gossip(Timestamp(1_000), &heard);
-    let before = heard.incarnation;
-    heard.incarnation = Incarnation(77);
-    let life = book.apply_gossip(Timestamp(2_000), &heard);
+fn a_new_incarnation_names_the_replaced_one() {
+    let mut table = PeerTable::new(name(0), HUB_CAPACITY);
+    let mut received = gossip(1, 500);
+    table.apply_gossip(Timestamp(1_000), &received);
+    let before = received.incarnation;
+    received.incarnation = Incarnation(77);
+    let sender = table.apply_gossip(Timestamp(2_000), &received);
     let replaced = Some(before);
-    assert_eq!(life, HeardLife::New { replaced });
+    assert_eq!(sender, SenderIncarnation::New { replaced });
 }
 
-/// Returns a hub's book with one entry that tells it its news, and what is due
-/// to that entry in a round.
-fn due_of(book: &mut PeerTable, at: u64, round: u32) -> Option<DueMessage> {
-    let due = book.take_due_messages(Timestamp::from_millis(at), round);
+/// Returns the message that is due to `entry-1` in a round.
+fn due_message(table: &mut PeerTable, at: u64, round: u32) -> Option<DueMessage> {
+    let due = table.take_due_messages(Timestamp::from_millis(at), round);
     due.into_iter().find(|message| message.name == name(1))
 }
 
 #[test]
-fn a_digest_that_a_busy_link_left_out_is_due_in_the_next_round() {
-    let mut book = PeerTable::new(name(0), STRENGTH);
-    let mut told = news(1, 500);
-    told.reports_state = true;
-    book.apply_gossip(Timestamp::from_millis(1_000), &told);
-    // The fourth round has a digest, the ones after it have none.
-    let skipped = due_of(&mut book, 1_000, 4).unwrap();
+fn a_summary_skipped_on_a_busy_link_is_due_in_the_next_round() {
+    let mut table = PeerTable::new(name(0), HUB_CAPACITY);
+    let mut received = gossip(1, 500);
+    received.reports_state = true;
+    table.apply_gossip(Timestamp::from_millis(1_000), &received);
+    // The fourth round has a summary, the ones after it have none.
+    let skipped = due_message(&mut table, 1_000, 4).unwrap();
     assert!(skipped.has_summary);
-    book.note_skipped(Timestamp::from_millis(1_000), &skipped);
-    let digests =
-        [5, 6].map(|round| due_of(&mut book, 1_000, round).is_some_and(|due| due.has_summary));
-    assert_eq!(digests, [true, false]);
+    table.note_skipped(Timestamp::from_millis(1_000), &skipped);
+    let summaries = [5, 6]
+        .map(|round| due_message(&mut table, 1_000, round).is_some_and(|due| due.has_summary));
+    assert_eq!(summaries, [true, false]);
 }
 
 #[test]
-fn a_hub_that_was_asked_nothing_does_not_become_suspect() {
-    let mut book = PeerTable::new(name(0), STRENGTH);
-    book.apply_gossip(Timestamp::from_millis(1_000), &news(1, 500));
+fn skipped_messages_do_not_make_a_hub_suspect() {
+    let mut table = PeerTable::new(name(0), HUB_CAPACITY);
+    table.apply_gossip(Timestamp::from_millis(1_000), &gossip(1, 500));
     for round in 5..25 {
         let at = 1_000 + u64::from(round) * 250;
-        let due = due_of(&mut book, at, round).unwrap();
+        let due = due_message(&mut table, at, round).unwrap();
         assert!(due.reports_state && !due.reopen);
-        book.note_skipped(Timestamp::from_millis(at), &due);
+        table.note_skipped(Timestamp::from_millis(at), &due);
     }
 }
 
 #[test]
-fn a_list_is_not_offered_again_before_its_receiver_can_have_answered() {
-    let mut book = PeerTable::new(name(0), STRENGTH);
-    book.apply_gossip(Timestamp::from_millis(1_000), &news(1, 500));
-    let mut offers = |at, hash| book.offers_list(Timestamp::from_millis(at), &name(1), hash);
-    let offered = [(1_000, 7), (1_250, 7), (1_300, 8), (1_700, 8), (1_900, 8)];
-    let offered = offered.map(|(at, hash)| offers(at, hash));
-    assert_eq!(offered, [true, false, true, false, true]);
+fn a_list_is_not_sent_again_before_it_can_be_acknowledged() {
+    let mut table = PeerTable::new(name(0), HUB_CAPACITY);
+    table.apply_gossip(Timestamp::from_millis(1_000), &gossip(1, 500));
+    let mut is_due =
+        |at, digest| table.should_send_list(Timestamp::from_millis(at), &name(1), digest);
+    let sent = [(1_000, 7), (1_250, 7), (1_300, 8), (1_700, 8), (1_900, 8)];
+    let sent = sent.map(|(at, digest)| is_due(at, digest));
+    assert_eq!(sent, [true, false, true, false, true]);
 }
 
 #[test]
-fn only_entries_that_were_heard_lately_with_a_newer_revision_are_asked_for_it() {
-    let mut book = PeerTable::new(name(0), STRENGTH);
-    let heard = |book: &mut PeerTable, number: usize, at: u64, revision: u64| {
-        let mut heard = news(number, 500);
-        heard.revision = RevisionNumber(revision);
-        book.apply_gossip(Timestamp::from_millis(at), &heard);
+fn only_reachable_entries_with_a_newer_revision_are_sources() {
+    let mut table = PeerTable::new(name(0), HUB_CAPACITY);
+    let receive = |table: &mut PeerTable, number: usize, at: u64, revision: u64| {
+        let mut received = gossip(number, 500);
+        received.revision = RevisionNumber(revision);
+        table.apply_gossip(Timestamp::from_millis(at), &received);
     };
-    heard(&mut book, 1, 9_000, 4);
-    heard(&mut book, 2, 9_000, 5);
-    heard(&mut book, 3, 9_000, 3);
-    heard(&mut book, 4, 1_000, 6);
-    let mut earlier = news(6, 500);
-    earlier.revision = RevisionNumber(7);
-    earlier.answers_pulls = false;
-    book.apply_gossip(Timestamp::from_millis(9_000), &earlier);
-    book.note_listed(
+    receive(&mut table, 1, 9_000, 4);
+    receive(&mut table, 2, 9_000, 5);
+    receive(&mut table, 3, 9_000, 3);
+    receive(&mut table, 4, 1_000, 6);
+    let mut earlier_version = gossip(6, 500);
+    earlier_version.revision = RevisionNumber(7);
+    earlier_version.answers_pulls = false;
+    table.apply_gossip(Timestamp::from_millis(9_000), &earlier_version);
+    table.note_listed(
         Timestamp::from_millis(9_000),
         name(5),
         "127.0.0.1:9".parse().unwrap(),
-        STRENGTH,
+        HUB_CAPACITY,
     );
-    let ahead = book.ahead(Timestamp::from_millis(10_000), RevisionNumber(3));
-    let revisions: Vec<u64> = ahead.iter().map(|source| source.revision.0).collect();
+    let sources = table.newer_sources(Timestamp::from_millis(10_000), RevisionNumber(3));
+    let revisions: Vec<u64> = sources.iter().map(|source| source.revision.0).collect();
     assert_eq!(revisions, [5, 4]);
 }
 
 #[test]
-fn entries_that_are_behind_do_not_all_ask_the_same_one() {
+fn entries_with_an_old_revision_ask_different_sources() {
     let mut first = std::collections::BTreeMap::new();
-    for asking in 10..310 {
-        let mut book = PeerTable::new(name(asking), STRENGTH);
+    for number in 10..310 {
+        let mut table = PeerTable::new(name(number), HUB_CAPACITY);
         for hub in 0..3 {
-            book.apply_gossip(Timestamp(9_000), &news(hub, 500));
+            table.apply_gossip(Timestamp(9_000), &gossip(hub, 500));
         }
-        let ahead = book.ahead(Timestamp(9_000), RevisionNumber(0));
-        *first.entry(ahead[0].address).or_insert(0) += 1;
+        let sources = table.newer_sources(Timestamp(9_000), RevisionNumber(0));
+        *first.entry(sources[0].address).or_insert(0) += 1;
     }
     assert_eq!(first.len(), 3);
-    assert!(first.values().all(|asked| *asked >= 60), "{first:?}");
+    assert!(first.values().all(|count| *count >= 60), "{first:?}");
 }
 
-fn life(name: &str) -> BackendId {
+fn backend_id(name: &str) -> BackendId {
     BackendId {
         name: BackendName(name.to_owned()),
         start: StartTime(1_700_000_000_000),
     }
 }
 
-fn full_news() -> GatewayGossip {
-    let mut full = news(3, 77);
+fn full_gossip() -> GatewayGossip {
+    let mut full = gossip(3, 77);
     full.draining = true;
     full.echo = Some(FreshnessEcho {
         incarnation: Incarnation(9),
@@ -409,22 +410,22 @@
         backends_age: Some(-6),
         fence: Some(FenceToken(4)),
     });
-    full.fence = Some(FenceToken(0));
-    full.duties_end = LogOffset(12);
+    full.fencing_token = Some(FenceToken(0));
+    full.duty_log_end = LogOffset(12);
     full.reports_state = true;
     full.wants_summary = true;
-    full.backends_hash = 8;
+    full.backends_digest = 8;
     let units = AdmittedUnits {
         account: "depots".parse().unwrap(),
         units: 10,
     };
     full.admitted = vec![units.clone()];
-    full.counts = vec![WindowCount {
+    full.window_counts = vec![WindowCount {
         window: 3,
         account: "depots".parse().unwrap(),
         count: 4,
     }];
-    let load = BackendUse {
+    let load = BackendLoad {
         backend: "b".to_owned(),
         in_flight: 2,
         unread: 300,
@@ -438,14 +439,14 @@
         requests_milli: 13,
     }];
     full.reports = vec![RelayedReport {
-        id: life("b"),
+        id: backend_id("b"),
         limit: Some(RequestRate(1.5)),
         draining: true,
         age: Duration::from_millis(14),
     }];
-    full.reports_hash = 15;
+    full.reports_digest = 15;
     full.sends = vec![LimitedSends {
-        id: life("b"),
+        id: backend_id("b"),
         sent: 16,
     }];
     full.crashes = vec![CrashReport {
@@ -459,14 +460,14 @@
     full.view = Some(HubView {
         entries: 5,
         reachable: 4,
-        fence: Some(FenceToken(3)),
+        fencing_token: Some(FenceToken(3)),
         backend_loads: vec![load],
     });
     full.summary = Some(HubSummary {
         admitted: vec![units],
         hubs: vec![(name(4), "127.0.0.1:9".parse().unwrap(), HubCapacity(7))],
         backends: Some(vec![BackendRecord {
-            id: life("b"),
+            id: backend_id("b"),
             service: "pool".parse().unwrap(),
             address: "127.0.0.1:8".parse().unwrap(),
             zone: "zone-a".parse().unwrap(),
@@ -478,15 +479,15 @@
             records: Vec::new(),
             gone: vec![BackendName("d".to_owned())],
         }),
-        draining: vec![life("c")],
+        draining: vec![backend_id("c")],
         reports: vec![RelayedReport {
-            id: life("c"),
+            id: backend_id("c"),
             limit: None,
             draining: false,
             age: Duration::ZERO,
         }],
         permits: vec![PermitGrant {
-            id: life("b"),
+            id: backend_id("b"),
             count: 2,
         }],
     });
@@ -494,17 +495,17 @@
 }
 
 #[test]
-fn news_pass_the_wire_unchanged() {
-    let bytes = GatewayGossipFrame::from(full_news()).encode_to_vec();
+fn encoded_gossip_is_decoded_unchanged() {
+    let bytes = GatewayGossipFrame::from(full_gossip()).encode_to_vec();
     let frame = GatewayGossipFrame::decode(bytes.as_slice()).unwrap();
-    assert_eq!(GatewayGossip::try_from(frame), Ok(full_news()));
+    assert_eq!(GatewayGossip::try_from(frame), Ok(full_gossip()));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn damaged_news_are_refused_or_read(at in 0_usize..200, byte in any::<u8>()) {
-        let mut bytes = GatewayGossipFrame::from(full_news()).encode_to_vec();
+    fn damaged_gossip_is_rejected_or_decoded(at in 0_usize..200, byte in any::<u8>()) {
+        let mut bytes = GatewayGossipFrame::from(full_gossip()).encode_to_vec();
         let at = at % bytes.len();
         bytes[at] = byte;
         if let Ok(frame) = GatewayGossipFrame::decode(bytes.as_slice()) {
@@ -513,32 +514,32 @@
     }
 
     #[test]
-    fn events_are_cut_at_their_ends_wherever_the_bytes_are(cuts in prop::collection::vec(1_usize..9, 1..40)) {
+    fn events_are_split_at_their_ends_however_the_bytes_are_cut(cuts in prop::collection::vec(1_usize..9, 1..40)) {
         let text: String = (1..=12).map(|n| format!("id: {n}\r\ndata: w{n}\r\n\r\n")).collect();
         let mut splitter = EventSplitter::new();
-        let mut passed = Vec::new();
+        let mut forwarded = Vec::new();
         let mut last = None;
-        let mut rest = text.as_bytes();
+        let mut remaining = text.as_bytes();
         let mut events = 0;
         for cut in cuts.iter().cycle() {
-            if rest.is_empty() { break; }
-            let (head, tail) = rest.split_at((*cut).min(rest.len()));
+            if remaining.is_empty() { break; }
+            let (head, tail) = remaining.split_at((*cut).min(remaining.len()));
             let batch = splitter.push(head);
-            // Whatever was let through ends with a whole event.
+            // Forwarded bytes always end with a complete event.
             prop_assert!(batch.bytes.is_empty() || batch.bytes.ends_with(b"\r\n\r\n"));
-            passed.extend_from_slice(&batch.bytes);
+            forwarded.extend_from_slice(&batch.bytes);
             last = batch.last_id.or(last);
             events += batch.count;
-            rest = tail;
+            remaining = tail;
         }
-        prop_assert_eq!(passed, text.as_bytes());
+        prop_assert_eq!(forwarded, text.as_bytes());
         prop_assert_eq!(last, Some(12));
         prop_assert_eq!(events, 12);
     }
-    /// However an event is cut, and wherever its beginning was let through, its
-    /// end is found, and the position that it names.
+    /// The end and the position of an event are found however it is cut and
+    /// wherever its beginning was flushed.
     #[test]
-    fn events_let_through_in_part_keep_their_ends_and_positions(
+    fn partially_flushed_events_keep_their_ends_and_positions(
         cuts in prop::collection::vec((1_usize..60, any::<bool>()), 1..40),
         end in prop::sample::select(vec!["\n", "\r\n"]),
     ) {
@@ -547,25 +548,25 @@
         let text: String = events.clone().collect();
         let ends: Vec<usize> = events.scan(0, |at, event| { *at += event.len(); Some(*at) }).collect();
         let mut splitter = EventSplitter::new();
-        let mut passed = Vec::new();
+        let mut forwarded = Vec::new();
         let mut last = None;
-        let mut rest = text.as_bytes();
-        for (cut, let_through) in cuts.iter().cycle() {
-            if rest.is_empty() { break; }
-            let (head, tail) = rest.split_at((*cut).min(rest.len()));
+        let mut remaining = text.as_bytes();
+        for (cut, flushes) in cuts.iter().cycle() {
+            if remaining.is_empty() { break; }
+            let (head, tail) = remaining.split_at((*cut).min(remaining.len()));
             let batch = splitter.push(head);
-            passed.extend_from_slice(&batch.bytes);
+            forwarded.extend_from_slice(&batch.bytes);
             last = batch.last_id.or(last);
-            if *let_through {
-                passed.extend_from_slice(&splitter.flush_partial());
+            if *flushes {
+                forwarded.extend_from_slice(&splitter.flush_partial());
             }
-            let whole = ends.iter().filter(|end| **end <= passed.len()).count();
-            prop_assert_eq!(last.unwrap_or(0), whole as u64);
-            let inside = passed.len() > whole.checked_sub(1).map_or(0, |index| ends[index]);
+            let complete = ends.iter().filter(|end| **end <= forwarded.len()).count();
+            prop_assert_eq!(last.unwrap_or(0), complete as u64);
+            let inside = forwarded.len() > complete.checked_sub(1).map_or(0, |index| ends[index]);
             prop_assert_eq!(splitter.is_inside_event(), inside);
-            rest = tail;
+            remaining = tail;
         }
-        prop_assert_eq!(passed, text.as_bytes());
+        prop_assert_eq!(forwarded, text.as_bytes());
         prop_assert_eq!(splitter.pending(), 0);
     }
 }
--- a/lib/tests/test_gateway_size.rs
+++ b/lib/tests/test_gateway_size.rs
@@ -1,5 +1,5 @@
-//! What a fleet of hundreds of entries knows of a thousand backend servers, and
-//! what that costs in calls to the store and in bytes.
+//! How a fleet of hundreds of entries distributes a list of a thousand backend
+//! servers, with the number of store calls and bytes that this takes.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     format!("127.0.0.1:{}", 1_000 + number).parse().unwrap()
 }
 
-fn strength(number: usize) -> HubCapacity {
+fn hub_capacity(number: usize) -> HubCapacity {
     HubCapacity(if number < 18 { 500 } else { 120 })
 }
 
@@ -55,81 +55,89 @@
 }
 
 struct SizeEntry {
-    book: PeerTable,
+    table: PeerTable,
     list: BackendSet,
-    /// When it may read the store again.
-    rested_at: Timestamp,
+    /// The earliest time of its next read of the store.
+    next_read_at: Timestamp,
     has_read: bool,
     sent_bytes: usize,
 }
 
-/// Entries that follow a list which changes, in steps of 50 ms. A message
-/// arrives a step after it was sent.
-struct SizeWorld {
+/// Entries that follow a changing list in steps of 50 ms. A message arrives one
+/// step after it was sent.
+struct SizeCluster {
     entries: Vec<SizeEntry>,
-    listed: BackendSet,
+    store_list: BackendSet,
     next_server: usize,
     now: Timestamp,
     calls: usize,
-    on_the_way: Vec<(usize, GatewayGossip)>,
-    dead: Vec<usize>,
+    in_flight: Vec<(usize, GatewayGossip)>,
+    stopped: Vec<usize>,
 }
 
-impl SizeWorld {
+impl SizeCluster {
     fn new() -> Self {
         let entry = |number| {
-            let mut book = PeerTable::new(name(number), strength(number));
+            let mut table = PeerTable::new(name(number), hub_capacity(number));
             for other in 0..ENTRIES {
-                book.note_listed(Timestamp(0), name(other), address(other), strength(other));
+                table.note_listed(
+                    Timestamp(0),
+                    name(other),
+                    address(other),
+                    hub_capacity(other),
+                );
             }
-            book.note_list_read();
+            table.note_list_read();
             SizeEntry {
-                book,
+                table,
                 list: BackendSet::new(),
-                rested_at: Timestamp(0),
+                next_read_at: Timestamp(0),
                 has_read: false,
                 sent_bytes: 0,
             }
         };
-        let mut listed = BackendSet::new();
+        let mut store_list = BackendSet::new();
         for number in 0..SERVERS {
-            listed.put(server(number));
+            store_list.put(server(number));
         }
         Self {
             entries: (0..ENTRIES).map(entry).collect(),
-            listed,
+            store_list,
             next_server: SERVERS,
             now: Timestamp(0),
             calls: 0,
-            on_the_way: Vec::new(),
-            dead: Vec::new(),
+            in_flight: Vec::new(),
+            stopped: Vec::new(),
         }
     }
 
-    /// Replaces the server that is listed longest.
+    /// Replaces the first server of the list by a new one.
     fn replace_server(&mut self) {
-        let oldest = self.listed.iter().next().unwrap().record.id.clone();
-        self.listed.note_absent(self.now, &oldest.name);
-        self.listed.put(server(self.next_server));
+        let oldest = self.store_list.iter().next().unwrap().record.id.clone();
+        self.store_list.note_absent(self.now, &oldest.name);
+        self.store_list.put(server(self.next_server));
         self.next_server += 1;
     }
 
     fn lose_zone(&mut self) {
         let zone = server(0).zone;
-        let in_zone = self.listed.iter().filter(|b| b.record.zone == zone);
-        let lost: Vec<BackendId> = in_zone.map(|b| b.record.id.clone()).collect();
+        let in_zone = self
+            .store_list
+            .iter()
+            .filter(|backend| backend.record.zone == zone);
+        let lost: Vec<BackendId> = in_zone.map(|backend| backend.record.id.clone()).collect();
         for id in lost {
-            self.listed.note_absent(self.now, &id.name);
+            self.store_list.note_absent(self.now, &id.name);
         }
     }
 
     fn step(&mut self) {
         self.now = self.now.after(Duration::from_millis(STEP_MS));
-        for (receiver, news) in std::mem::take(&mut self.on_the_way) {
-            self.receive(receiver, &news);
+        for (receiver, gossip) in std::mem::take(&mut self.in_flight) {
+            self.receive(receiver, &gossip);
         }
         for number in 0..ENTRIES {
-            if self.dead.contains(&number) {
+            if self.stopped.contains(&number) {
                 continue;
             }
             self.read(number);
@@ -144,48 +152,49 @@
     fn read(&mut self, number: usize) {
         let now = self.now;
         let entry = &mut self.entries[number];
-        let rhythm = ReadSchedule::with_bound(BOUND);
+        let schedule = ReadSchedule::with_bound(BOUND);
         let state = ReaderState {
-            rank: entry.book.hub_rank(now),
-            max_readers: rhythm.max_readers(80.0, entry.list.iter().count()),
+            rank: entry.table.hub_rank(now),
+            max_readers: schedule.max_readers(80.0, entry.list.iter().count()),
             holds_lease: false,
             view_age: entry.list.confirmed_at().map(|at| now.since(at)),
             first_start: true,
             has_entry_list: true,
             uptime: now.since(Timestamp(0)),
         };
-        if now < entry.rested_at || !state.should_read_store(rhythm) {
+        if now < entry.next_read_at || !state.should_read_store(schedule) {
             return;
         }
-        let pages = self.listed.iter().count().div_ceil(PAGE);
+        let pages = self.store_list.iter().count().div_ceil(PAGE);
         self.calls += if entry.has_read { 1 } else { pages };
         entry.has_read = true;
-        entry.list.replace(now, self.listed.records());
+        entry.list.replace(now, self.store_list.records());
         entry.list.confirm(now);
-        entry.rested_at = now.after(rhythm.poll_interval());
+        entry.next_read_at = now.after(schedule.poll_interval());
     }
 
     fn send(&mut self, number: usize, round: u32) {
         let now = self.now;
-        for message in self.entries[number].book.take_due_messages(now, round) {
-            let news = self.news(number, &message);
-            self.entries[number].sent_bytes += GatewayGossipFrame::from(news.clone()).encoded_len();
+        for message in self.entries[number].table.take_due_messages(now, round) {
+            let gossip = self.gossip(number, &message);
+            self.entries[number].sent_bytes +=
+                GatewayGossipFrame::from(gossip.clone()).encoded_len();
             let receiver = (0..ENTRIES).find(|other| name(*other) == message.name);
-            let receiver = receiver.filter(|other| !self.dead.contains(other));
-            self.on_the_way.extend(receiver.map(|other| (other, news)));
+            let receiver = receiver.filter(|other| !self.stopped.contains(other));
+            self.in_flight.extend(receiver.map(|other| (other, gossip)));
         }
     }
 
-    fn news(&mut self, number: usize, message: &DueMessage) -> GatewayGossip {
+    fn gossip(&mut self, number: usize, message: &DueMessage) -> GatewayGossip {
         let now = self.now;
         let entry = &mut self.entries[number];
-        let receiver = entry.book.get(&message.name);
-        let known = receiver.map_or(0, |peer| peer.backends_hash);
-        let hash = entry.list.list_digest();
-        let offers = message.has_summary
-            && known != hash
-            && entry.book.offers_list(now, &message.name, hash);
-        let (backends, changes) = match offers.then(|| entry.list.list_update(Some(known))) {
+        let receiver = entry.table.get(&message.name);
+        let known_digest = receiver.map_or(0, |peer| peer.backends_digest);
+        let digest = entry.list.list_digest();
+        let is_due = message.has_summary
+            && known_digest != digest
+            && entry.table.should_send_list(now, &message.name, digest);
+        let (backends, changes) = match is_due.then(|| entry.list.list_update(Some(known_digest))) {
             None | Some(ListUpdate::Nothing) => (None, None),
             Some(ListUpdate::Full(records)) => (Some(records), None),
             Some(ListUpdate::Changes(changes)) => (None, Some(changes)),
@@ -194,11 +203,11 @@
             sent_at: now.0,
             revision: RevisionNumber(1),
             echo: entry
-                .book
+                .table
                 .echo(&message.name, None, entry.list.confirmed_at()),
             reports_state: message.reports_state,
             wants_summary: message.wants_summary,
-            backends_hash: hash,
+            backends_digest: digest,
             summary: message.has_summary.then(|| HubSummary {
                 admitted: Vec::new(),
                 hubs: Vec::new(),
@@ -212,36 +221,41 @@
                 Incarnation(number as u64 + 1),
                 name(number),
                 address(number),
-                strength(number),
+                hub_capacity(number),
             )
         }
     }
 
-    fn receive(&mut self, number: usize, news: &GatewayGossip) {
+    fn receive(&mut self, number: usize, gossip: &GatewayGossip) {
         let now = self.now;
         let entry = &mut self.entries[number];
-        entry.book.apply_gossip(now, news);
-        let own = Incarnation(number as u64 + 1);
-        let Some(echo) = news.echo.filter(|echo| echo.incarnation == own) else {
+        entry.table.apply_gossip(now, gossip);
+        let own_incarnation = Incarnation(number as u64 + 1);
+        let Some(echo) = gossip
+            .echo
+            .filter(|echo| echo.incarnation == own_incarnation)
+        else {
             return;
         };
         let Some(age) = echo.backends_age else {
             return;
         };
-        let known_at = Timestamp(echo.sent_at.saturating_add_signed(age.saturating_neg()));
-        let hash = news.backends_hash;
-        if let Some(digest) = &news.summary {
-            if let Some(records) = &digest.backends {
-                entry.list.replace_if_newer(now, known_at, records.clone());
+        let confirmed_at = Timestamp(echo.sent_at.saturating_add_signed(age.saturating_neg()));
+        let digest = gossip.backends_digest;
+        if let Some(summary) = &gossip.summary {
+            if let Some(records) = &summary.backends {
+                entry
+                    .list
+                    .replace_if_newer(now, confirmed_at, records.clone());
             }
-            if let Some(changes) = &digest.changes {
+            if let Some(changes) = &summary.changes {
                 entry
                     .list
-                    .apply_changes(now, known_at, hash, changes.clone());
+                    .apply_changes(now, confirmed_at, digest, changes.clone());
             }
         }
-        if entry.list.list_digest() == hash {
-            entry.list.confirm(known_at);
+        if entry.list.list_digest() == digest {
+            entry.list.confirm(confirmed_at);
         }
     }
 
@@ -254,7 +268,7 @@
                 self.replace_server();
             }
             self.step();
-            oldest = oldest.max(self.oldest_knowledge());
+            oldest = oldest.max(self.oldest_list_age());
         }
         let entries = self.entries.iter().zip(sent);
         let rate =
@@ -269,21 +283,21 @@
         }
     }
 
-    /// Returns the greatest age of any living entry's list.
-    fn oldest_knowledge(&self) -> Duration {
-        let living = (0..ENTRIES).filter(|number| !self.dead.contains(number));
-        let known = living.map(|number| self.entries[number].list.confirmed_at());
-        known
+    /// Returns the age of the oldest list among the running entries.
+    fn oldest_list_age(&self) -> Duration {
+        let running = (0..ENTRIES).filter(|number| !self.stopped.contains(number));
+        let confirmed = running.map(|number| self.entries[number].list.confirmed_at());
+        confirmed
             .map(|at| self.now.since(at.unwrap_or_default()))
             .max()
             .unwrap_or_default()
     }
 
-    /// Returns how many entries have another list than the store.
-    fn behind(&self) -> usize {
-        let hash = self.listed.list_digest();
+    /// Returns how many entries have a list that differs from the one in the store.
+    fn stale_entries(&self) -> usize {
+        let digest = self.store_list.list_digest();
         let lists = self.entries.iter().map(|entry| entry.list.list_digest());
-        lists.filter(|other| *other != hash).count()
+        lists.filter(|other| *other != digest).count()
     }
 }
 
@@ -296,10 +310,10 @@
 }
 
 #[test]
-fn a_start_of_all_entries_reads_the_list_a_few_times() {
-    let mut world = SizeWorld::new();
-    let figures = world.run(5, 0);
-    assert_eq!(world.behind(), 0);
+fn the_list_is_read_a_few_times_when_all_entries_start() {
+    let mut cluster = SizeCluster::new();
+    let figures = cluster.run(5, 0);
+    assert_eq!(cluster.stale_entries(), 0);
     insta::assert_debug_snapshot!(figures, @r"
     SizeFigures {
         calls: 64,
@@ -310,15 +324,16 @@
     ");
 }
 
-/// Ten servers are replaced each second, then a zone's are gone at once.
+/// Ten servers are replaced each second, then all servers of a zone are removed at
+/// once.
 #[test]
-fn a_list_that_changes_all_the_time_is_known_everywhere_through_one_reader() {
-    let mut world = SizeWorld::new();
-    world.run(5, 0);
-    let churn = world.run(20, 10);
-    world.lose_zone();
-    let loss = world.run(3, 0);
-    assert_eq!(world.behind(), 0);
+fn one_reader_distributes_a_constantly_changing_list_to_all_entries() {
+    let mut cluster = SizeCluster::new();
+    cluster.run(5, 0);
+    let churn = cluster.run(20, 10);
+    cluster.lose_zone();
+    let loss = cluster.run(3, 0);
+    assert_eq!(cluster.stale_entries(), 0);
     insta::assert_debug_snapshot!((churn, loss), @r"
     (
         SizeFigures {
@@ -337,15 +352,15 @@
     ");
 }
 
-/// The first two hubs end without a word.
+/// The first two hubs stop without draining.
 #[test]
-fn the_loss_of_the_readers_makes_few_others_read() {
-    let mut world = SizeWorld::new();
-    world.run(5, 0);
+fn few_other_entries_read_after_the_loss_of_the_readers() {
+    let mut cluster = SizeCluster::new();
+    cluster.run(5, 0);
     let mut ranked: Vec<usize> = (0..ENTRIES).collect();
-    ranked.sort_by_key(|number| world.entries[*number].book.hub_rank(world.now));
-    world.dead = ranked[..2].to_vec();
-    let figures = world.run(10, 10);
+    ranked.sort_by_key(|number| cluster.entries[*number].table.hub_rank(cluster.now));
+    cluster.stopped = ranked[..2].to_vec();
+    let figures = cluster.run(10, 10);
     insta::assert_debug_snapshot!(figures, @r"
     SizeFigures {
         calls: 7,
