--- a/lib/tests/test_gateway_peers.rs
+++ b/lib/tests/test_gateway_peers.rs
@@ -567,6 +567,6 @@
             remaining = tail;
         }
         prop_assert_eq!(forwarded, text.as_bytes());
-        prop_assert_eq!(splitter.pending(), 0);
+        prop_assert_eq!(splitter.pending_len(), 0);
     }
 }
