--- a/lib/src/gateway/document_transfer.rs
+++ b/lib/src/gateway/document_transfer.rs
@@ -22,10 +22,11 @@
 use crate::quantity::Timestamp;
 
 /// How long a source may take to answer before the next one is asked. A hub with
-/// 200 Mbit/s sends a part to each of a hundred entries within 140 ms.
+/// 200 Mbit/s that a hundred entries ask at the same time sends each of them a
+/// part within 140 ms.
 const PULL_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long no source is asked again for an unusable revision, so that a damaged
-/// document is not fetched continuously.
+/// How long no source is asked again for an unusable revision or an older one, so
+/// that a damaged document is not fetched continuously.
 const UNUSABLE_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// The longest packed document, in bytes. Deflate adds a few bytes to each 64 KB
 /// of incompressible data.
@@ -142,17 +143,17 @@
         Some((source.address, pull))
     }
 
-    /// Chooses the same source again while it answers: it caches the document that
-    /// was pulled, which others may have replaced by a newer one.
+    /// Chooses the same source again while it answers. It still caches the document
+    /// that is being pulled, while other sources may have only a newer one.
     fn choose_source(&self, sources: &[DocumentSource]) -> DocumentSource {
         let same = |source: &&DocumentSource| Some(source.address) == self.source;
         let next = &sources[self.failures % sources.len()];
         *sources.iter().find(same).unwrap_or(next)
     }
 
-    /// Abandons the source that did not answer. If no source continues the
-    /// document, its parts are dropped after all were asked: the sources may have
-    /// it in another packed form.
+    /// Abandons the source that did not answer. Once all sources were asked and none
+    /// continued the document, drops its buffered parts, since the sources may have
+    /// the document in another packed form.
     fn abandon_source(&mut self, source_count: usize) {
         self.failures += 1;
         self.source = None;
@@ -301,8 +302,9 @@
         cached.map(|cached| cached.document.bytes().len()).sum()
     }
 
-    /// Returns the part that a pull asks for; none if the newest document is older
-    /// than the requested revision.
+    /// Returns the part that a pull asks for. If the requested revision is not
+    /// cached, returns the first part of the newest document, or none if that is
+    /// older than the requested revision.
     pub fn part_for(&mut self, now: Timestamp, pull: &DocumentPull) -> Option<DocumentPart> {
         if let Some((cached, requested_at)) = &mut self.older
             && cached.revision == pull.revision
--- a/lib/src/gateway/gossip_frame.rs
+++ b/lib/src/gateway/gossip_frame.rs
@@ -41,8 +41,8 @@
     fence: Option<u64>,
 }
 
-/// The count of an account in a usage window, or the units that it was admitted in
-/// total, with a window of 0.
+/// The number of requests of an account that began in a usage window. In lists of
+/// admitted units, the window is 0 and the count is the total of the account.
 #[derive(Clone, PartialEq, Eq, Message)]
 struct CountFrame {
     #[prost(uint64, tag = "1")]
--- a/lib/src/gateway/gossip_task.rs
+++ b/lib/src/gateway/gossip_task.rs
@@ -43,8 +43,8 @@
 
 /// How many past usage windows the reported counts cover.
 const REPORTED_WINDOWS: u64 = 2;
-/// An entry that runs for longer than this when its first message arrives is not
-/// new. What it admitted before that message is not counted again.
+/// If an entry has run for longer than this when its first message arrives, the
+/// units that it admitted before that message are not counted.
 const NEW_ENTRY_AGE: Duration = Duration::from_secs(3);
 
 /// Sends gossip until the entry stops. A new configuration triggers a round at once.
@@ -145,8 +145,8 @@
     )
 }
 
-/// Completes a message for its receiver, and removes the parts that are only for
-/// hubs if the receiver is none.
+/// Completes a message for its receiver. If the receiver is not a hub, removes the
+/// parts that only hubs need.
 fn address_gossip(context: &GatewayContext, gossip: &mut GatewayGossip, message: &DueMessage) {
     let config = context.config.lock();
     let config_confirmed_at = config.confirmed_at();
@@ -445,19 +445,21 @@
     }
 }
 
-/// Returns the time, by the own clock, at which the sender of an echo confirmed
-/// its state: `age` before this entry sent the echoed message at `sent_at`, or
-/// after it if `age` is negative. This ignores how long that message was on its
-/// way, so it is the earliest possible time.
-/// None if the time is before the start of this entry. Time 0 would be wrong
-/// instead: the state would seem fresh here and at the entries that it is sent to.
+/// Returns the time, by the clock of this entry, at which the sender of an echo
+/// confirmed its state: `age` before this entry sent the echoed message at
+/// `sent_at`, or after it if `age` is negative. The transit time of that message is
+/// ignored, so this is the earliest possible time.
+///
+/// Returns none if the time is before the start of this entry. With time 0 in its
+/// place, the state would seem fresher than it is, here and at the entries to which
+/// this one reports it.
 fn confirmation_time(sent_at: u64, age: i64) -> Option<Timestamp> {
     let at = sent_at.checked_add_signed(age.saturating_neg());
     at.map(Timestamp)
 }
 
-/// Records the promise of another entry that has this entry's fencing token not
-/// to claim the lease.
+/// Records that another entry echoed this entry's fencing token, and so promised
+/// not to claim the lease.
 fn apply_promise(context: &GatewayContext, gossip: &GatewayGossip, echo: FreshnessEcho) {
     if let Some(fencing_token) = echo.fence {
         let sent_at = Timestamp(echo.sent_at);
@@ -466,8 +468,8 @@
     }
 }
 
-/// Confirms the own state as of the time at which another entry, which has the
-/// same state, confirmed it.
+/// Confirms the state of this entry as of the time at which the sender confirmed
+/// it, if the sender has the same state.
 fn confirm_state(context: &GatewayContext, gossip: &GatewayGossip, echo: FreshnessEcho) {
     let confirmed_at = |age: Option<i64>| confirmation_time(echo.sent_at, age?);
     if let Some(at) = confirmed_at(echo.config_age) {
@@ -519,8 +521,8 @@
     let echo = gossip
         .echo
         .filter(|echo| echo.incarnation == own_incarnation);
-    // A list that was confirmed before the own start is better than none, but it
-    // does not confirm the own list.
+    // A list that was confirmed before this entry started is better than none, but
+    // does not confirm the list that this entry has.
     let start = Timestamp(0);
     let or_start = |age, sent_at| confirmation_time(sent_at, age).unwrap_or(start);
     let confirmed_at = echo.and_then(|echo| Some(or_start(echo.backends_age?, echo.sent_at)));
--- a/lib/src/gateway/packed_document.rs
+++ b/lib/src/gateway/packed_document.rs
@@ -14,9 +14,9 @@
 use flate2::write::DeflateEncoder;
 use twox_hash::XxHash64;
 
-/// The longest document, in bytes: about 30,000 routes. It bounds the peak memory
-/// of an entry that reads a document from the store: 51 MB at 7.9 MB, a third of
-/// the memory of the smallest VM.
+/// The longest document, in bytes: about 30,000 routes. The limit bounds the memory
+/// of an entry that reads a document from the store. A document of 7.9 MB takes
+/// 51 MB at the peak, a third of the memory of the smallest VM.
 pub const MAX_DOCUMENT_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why a document was rejected.
--- a/lib/src/gateway/peer_table.rs
+++ b/lib/src/gateway/peer_table.rs
@@ -43,9 +43,9 @@
 /// How long to wait before the same list of backend servers is sent to an entry
 /// again. The entry acknowledges it with its next gossip, 250 ms later.
 const LIST_RESEND_DELAY: Duration = Duration::from_millis(600);
-/// How long the server reports of another entry may differ from the own ones
-/// before all of them are sent. By then the entry has acknowledged the recent
-/// changes.
+/// How long the server reports of another entry may differ from those of this
+/// entry before all of them are sent. By then the other entry has acknowledged the
+/// recent changes.
 const REPORTS_RESEND_DELAY: Duration = Duration::from_millis(1_500);
 /// An entry is removed after this time without gossip. Until then it keeps its
 /// share of every limit, since it may only be partitioned.
@@ -92,7 +92,7 @@
     sent_list: Option<(u64, Timestamp)>,
     /// The digest of the server reports that it has.
     reports_digest: u64,
-    /// Since when that digest differs from the own one.
+    /// Since when that digest differs from the one of this entry.
     reports_differ_since: Option<Timestamp>,
     /// When all server reports were last sent to it.
     reports_sent_at: Option<Timestamp>,
@@ -435,7 +435,7 @@
     }
 
     /// Returns which server reports to send to an entry. `digest` is the digest
-    /// of the own reports.
+    /// of the reports of this entry.
     pub fn offer_reports(&mut self, now: Timestamp, name: &EntryName, digest: u64) -> ReportOffer {
         let Some(peer) = self.peers.get_mut(name) else {
             return ReportOffer::Nothing;
@@ -515,7 +515,7 @@
     }
 
     /// Returns the hubs with their addresses, to be sent to other entries. Hubs
-    /// without gossip so far are left out.
+    /// from which no gossip has arrived yet are omitted.
     pub fn hub_addresses(&self, now: Timestamp) -> Vec<(EntryName, SocketAddr, HubCapacity)> {
         let hubs = self.hubs(now);
         let address = |name: EntryName| {
@@ -538,7 +538,8 @@
         before.filter(|(_, peer)| !peer.is_suspect(now)).count()
     }
 
-    /// Removes entries without gossip for a long time; returns their incarnations.
+    /// Removes entries from which no gossip came for `PEER_EXPIRY`; returns their
+    /// incarnations.
     pub fn remove_unreachable(&mut self, now: Timestamp) -> Vec<Incarnation> {
         // Most entries never send gossip to this one. Only those that have sent
         // some, or that owe a reply, can expire.
--- a/lib/src/gateway/site_config.rs
+++ b/lib/src/gateway/site_config.rs
@@ -53,7 +53,7 @@
     pub target_latency: Duration,
     /// The pause between events up to which a stream has its full value.
     pub target_pause: Duration,
-    /// The most backend servers to which one request may be sent.
+    /// The most backend servers on which one attempt of a caller may run.
     pub max_attempts: u32,
     /// The priority; 0 is the most urgent.
     pub priority: u8,
--- a/lib/tests/test_document_transfer.rs
+++ b/lib/tests/test_document_transfer.rs
@@ -1,5 +1,5 @@
 //! Fetching of the configuration document: it arrives complete whatever is lost
-//! or late, and the memory used for it is bounded at both sides.
+//! or late, and the memory used for it is bounded on both sides.
 
 use std::net::SocketAddr;
 
--- a/lib/tests/test_gateway_size.rs
+++ b/lib/tests/test_gateway_size.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Replaces the first server of the list by a new one.
+    /// Replaces the oldest server of the list by a new one.
     fn replace_server(&mut self) {
         let oldest = self.store_list.iter().next().unwrap().record.id.clone();
         self.store_list.note_absent(self.now, &oldest.name);
