--- a/lib/src/gateway/config_follower.rs
+++ b/lib/src/gateway/config_follower.rs
@@ -112,7 +112,8 @@
     }
 
     /// Records that no revision above `newest` existed at `requested_at`. This
-    /// confirms the adopted configuration only if it is that revision.
+    /// confirms the adopted configuration unless `newest` is higher than its revision
+    /// or the newest document in the log is unusable.
     pub fn confirm(&mut self, newest: RevisionNumber, requested_at: Timestamp) {
         let is_newest = newest <= self.revision() && self.unusable_end.is_none();
         if !is_newest || self.adopted.is_none() {
