--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -12,7 +12,7 @@
 /// Arguments of `check`.
 #[derive(Debug, Args)]
 pub struct CheckArgs {
-    /// The configuration (JSON)
+    /// The configuration file (JSON)
     file: PathBuf,
 }
 
--- a/cli/src/commands/completions.rs
+++ b/cli/src/commands/completions.rs
@@ -1,4 +1,4 @@
-//! `cloverbend completions`: prints completions for a shell.
+//! `cloverbend completions`: prints a completion script for a shell.
 
 use clap::Args;
 use clap::CommandFactory;
@@ -11,7 +11,7 @@
 /// Arguments of `completions`.
 #[derive(Debug, Args)]
 pub struct CompletionsArgs {
-    /// The shell
+    /// The shell to print completions for
     shell: Shell,
 }
 
--- a/cli/src/commands/entries.rs
+++ b/cli/src/commands/entries.rs
@@ -1,4 +1,4 @@
-//! `cloverbend entries`: which entries to use.
+//! `cloverbend entries`: lists the entries that callers can use.
 
 use clap::Args;
 use cloverbend::http_client::HttpClient;
@@ -11,8 +11,8 @@
 use crate::output::print_table;
 use crate::output::print_text;
 
-/// How long an entry may take to answer.
-const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(3);
+/// How long an entry may take to respond.
+const QUERY_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(3);
 
 /// Arguments of `entries`.
 #[derive(Debug, Args)]
@@ -26,7 +26,7 @@
 
 /// Runs `entries`.
 pub async fn run(args: EntriesArgs) -> Result<(), CliError> {
-    let answer = ask(&args).await?;
+    let answer = query_entries(&args).await?;
     if args.json {
         print_json(&answer);
         return Ok(());
@@ -37,19 +37,20 @@
     Ok(())
 }
 
-async fn ask(args: &EntriesArgs) -> Result<EntriesAnswer, CliError> {
+/// Returns the list of the first entry that responds.
+async fn query_entries(args: &EntriesArgs) -> Result<EntriesAnswer, CliError> {
     let http = HttpClient::new();
-    let mut last = None;
+    let mut last_error = None;
     for entry in &args.entry.entries {
         let url = format!("http://{entry}/v1/entries");
-        match http.get_json(&url, TIMEOUT).await {
+        match http.get_json(&url, QUERY_TIMEOUT).await {
             Ok(answer) => return Ok(answer),
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
     }
-    Err(match last {
+    Err(match last_error {
         Some(error) => CliError::Query(error),
-        None => CliError::Usage("no entry was named".to_owned()),
+        None => CliError::Usage("no entry address given".to_owned()),
     })
 }
 
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `cloverbend explain`: what log lines say about one request.
+//! `cloverbend explain`: prints the log lines of one request in order of time.
 
 use std::path::PathBuf;
 
@@ -15,7 +15,7 @@
 pub struct ExplainArgs {
     /// The identifier of the request
     request: String,
-    /// Log files of entries; standard input without any
+    /// Log files of entries; reads standard input if none is given
     files: Vec<PathBuf>,
     /// Print JSON
     #[arg(long)]
@@ -27,10 +27,10 @@
     let text = read_logs(&args.files)?;
     let found = read_request_lines(&text, &args.request);
     for bad in &found.bad {
-        eprintln!("passed over: {bad}");
+        eprintln!("skipped: {bad}");
     }
     if found.lines.is_empty() {
-        return Err(CliError::NothingFound(args.request));
+        return Err(CliError::RequestNotFound(args.request));
     }
     if args.json {
         print_json(&found.lines);
--- a/cli/src/commands/key.rs
+++ b/cli/src/commands/key.rs
@@ -1,4 +1,4 @@
-//! `cloverbend key`: makes keys of client accounts.
+//! `cloverbend key`: generates and hashes keys of client accounts.
 
 use clap::Args;
 use clap::Subcommand;
@@ -13,9 +13,9 @@
 /// Subcommands of `key`.
 #[derive(Debug, Subcommand)]
 pub enum KeyCommand {
-    /// Draw a new key and print it with its hash
+    /// Generate a random key and print it with its hash
     New(NewArgs),
-    /// Print the hash of a key, for a configuration
+    /// Print the hash of a key, as a configuration needs it
     Hash(KeyArgs),
 }
 
--- a/cli/src/commands/losses.rs
+++ b/cli/src/commands/losses.rs
@@ -1,4 +1,4 @@
-//! `cloverbend losses`: where requests were lost or late.
+//! `cloverbend losses`: counts lost and late requests by route, size and cause.
 
 use std::path::PathBuf;
 
@@ -13,12 +13,12 @@
 use crate::output::print_text;
 
 /// The columns of the table.
-const COLUMNS: [&str; 5] = ["requests", "route", "unread tokens", "cause", "such as"];
+const COLUMNS: [&str; 5] = ["requests", "route", "prefill tokens", "cause", "examples"];
 
 /// Arguments of `losses`.
 #[derive(Debug, Args)]
 pub struct LossesArgs {
-    /// Log files of entries; standard input without any
+    /// Log files of entries; reads standard input if none is given
     files: Vec<PathBuf>,
     /// Print JSON
     #[arg(long)]
@@ -30,7 +30,7 @@
     let text = read_logs(&args.files)?;
     let (report, log) = read_losses(&text);
     for bad in &log.bad {
-        eprintln!("passed over: {bad}");
+        eprintln!("skipped: {bad}");
     }
     if args.json {
         print_json(&report);
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -24,22 +24,22 @@
 
 use crate::cli_error::CliError;
 
-/// The subcommands: queries first, then commands that change something.
+/// The subcommands of `cloverbend`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Which entries to use
+    /// List the entries that callers can use
     Entries(entries::EntriesArgs),
-    /// How an entry, the others and the backend servers do
+    /// Show the state of an entry, its peers and the backend servers
     Status(status::StatusArgs),
-    /// The spans of a trace
+    /// Show the spans of a trace
     Trace(trace::TraceArgs),
     /// Check a configuration without publishing it
     Check(check::CheckArgs),
-    /// What log lines say about one request
+    /// Print the log lines of one request in order of time
     Explain(explain::ExplainArgs),
-    /// Where requests were lost or late, by route, size and cause
+    /// Count lost and late requests by route, size and cause
     Losses(losses::LossesArgs),
-    /// Try out policies
+    /// Test policies
     #[command(subcommand)]
     Policy(policy::PolicyCommand),
     /// Publish a configuration
@@ -47,10 +47,10 @@
     /// Send a request
     #[command(subcommand)]
     Request(request::RequestCommand),
-    /// Make keys of client accounts
+    /// Generate and hash keys of client accounts
     #[command(subcommand)]
     Key(key::KeyCommand),
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     Completions(completions::CompletionsArgs),
 }
 
@@ -73,10 +73,10 @@
     }
 }
 
-/// Which entries to ask.
+/// The entries to contact.
 #[derive(Debug, Args)]
 pub struct EntryArgs {
-    /// The address of an entry; may be given more than once
+    /// The address of an entry; may be repeated
     #[arg(
         long = "entry",
         value_name = "IP:PORT",
@@ -90,10 +90,11 @@
 /// The key of a client account.
 #[derive(Debug, Args)]
 pub struct KeyArgs {
-    /// A file with the account's key
+    /// A file that contains the account's key
     #[arg(long, value_name = "FILE")]
     key_file: Option<PathBuf>,
-    /// The account's key, from the environment only
+    /// The account's key. Hidden from the help, since other processes can read
+    /// arguments; the environment variable is the way to pass it.
     #[arg(
         env = "CLOVERBEND_KEY",
         hide = true,
@@ -104,18 +105,19 @@
 }
 
 impl KeyArgs {
-    /// Returns the key.
+    /// Returns the key from the file, or else from the environment.
     pub fn read(&self) -> Result<String, CliError> {
         if let Some(file) = &self.key_file {
             return Ok(read_file(file)?.trim().to_owned());
         }
-        let missing = || CliError::Usage("no key: give --key-file or CLOVERBEND_KEY".to_owned());
+        let missing =
+            || CliError::Usage("no key: pass --key-file or set CLOVERBEND_KEY".to_owned());
         self.key.clone().ok_or_else(missing)
     }
 }
 
-/// Builds a caller.
-pub fn caller(entries: &EntryArgs, key: &KeyArgs) -> Result<CallerClient, CliError> {
+/// Builds a client that sends requests with the account's key.
+pub fn build_caller(entries: &EntryArgs, key: &KeyArgs) -> Result<CallerClient, CliError> {
     let key = key.read()?;
     Ok(CallerClient::new(
         HttpClient::new(),
@@ -124,7 +126,7 @@
     ))
 }
 
-/// Reads log files whole, or standard input if there are none.
+/// Reads and joins log files, or reads standard input if there are none.
 fn read_logs(files: &[PathBuf]) -> Result<String, CliError> {
     let mut text = String::new();
     for file in files {
--- a/cli/src/commands/policy.rs
+++ b/cli/src/commands/policy.rs
@@ -1,4 +1,4 @@
-//! `cloverbend policy`: what a client account would get, and why.
+//! `cloverbend policy`: shows what a policy decides for a client account, and why.
 
 use std::path::PathBuf;
 
@@ -27,12 +27,12 @@
 /// Arguments of `policy test`.
 #[derive(Debug, Args)]
 pub struct TestArgs {
-    /// The configuration (JSON)
+    /// The configuration file (JSON)
     file: PathBuf,
-    /// The client account
+    /// The client account that sends the request
     #[arg(long)]
     account: AccountName,
-    /// The service
+    /// The service that the request is for
     #[arg(long)]
     service: ServiceName,
     /// An availability zone that has backend servers; may be repeated
@@ -52,16 +52,16 @@
     let text = read_file(&args.file)?;
     let name = args.file.display().to_string();
     let view = ConfigView::parse(&name, &text).map_err(CliError::Findings)?;
-    let decision = decide(&view, &args)?;
+    let decision = evaluate_policy(&view, &args)?;
     if args.json {
         print_json(&decision);
     } else {
-        print_text(&describe(&args, &decision));
+        print_text(&format_decision(&args, &decision));
     }
     Ok(())
 }
 
-fn decide(view: &ConfigView, args: &TestArgs) -> Result<PolicyDecision, CliError> {
+fn evaluate_policy(view: &ConfigView, args: &TestArgs) -> Result<PolicyDecision, CliError> {
     let account = view
         .account(&args.account)
         .ok_or_else(|| CliError::Usage(format!("no account is named {}", args.account)))?;
@@ -81,7 +81,7 @@
         .map_err(|error| CliError::Policy(format!("policy {}: {error}", account.policy)))
 }
 
-fn describe(args: &TestArgs, decision: &PolicyDecision) -> String {
+fn format_decision(args: &TestArgs, decision: &PolicyDecision) -> String {
     let verdict = if decision.allow { "allowed" } else { "refused" };
     let zones = match &decision.zones {
         Some(zones) => {
--- a/cli/src/commands/publish.rs
+++ b/cli/src/commands/publish.rs
@@ -1,5 +1,5 @@
-//! `cloverbend publish`: publishes a configuration and tells where it is in
-//! force.
+//! `cloverbend publish`: publishes a configuration and waits until the entries
+//! have put it in force.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,18 +24,18 @@
 /// Arguments of `publish`.
 #[derive(Debug, Args)]
 pub struct PublishArgs {
-    /// The configuration (JSON)
+    /// The configuration file (JSON)
     file: PathBuf,
-    /// The platform's log service
+    /// The address of the platform's log service
     #[arg(long, value_name = "http://IP:PORT", env = "CLOVERBEND_LOG_SERVICE")]
     log_service: BaseUrl,
-    /// The revision that it replaces; the one in force, if absent
+    /// The revision that this configuration replaces; by default the one in force
     #[arg(long, value_name = "NUMBER")]
     replaces: Option<RevisionNumber>,
-    /// The name of this publication; drawn, if absent
+    /// The name of this publication, random by default; each name is applied at most once
     #[arg(long, value_name = "NAME")]
     publication: Option<PublicationId>,
-    /// Entries to ask whether it is in force
+    /// An entry to check until the new revision is in force there; may be repeated
     #[arg(
         long = "entry",
         value_name = "IP:PORT",
@@ -43,7 +43,7 @@
         value_delimiter = ','
     )]
     entries: Vec<SocketAddr>,
-    /// How long to wait until it is in force, in seconds
+    /// How long to wait for the entries to put the revision in force, in seconds
     #[arg(long, default_value_t = 5)]
     wait: u64,
 }
@@ -62,15 +62,17 @@
     match outcome {
         PublishOutcome::Accepted(number) => {
             print_text(&format!("accepted as revision {number}\n"));
-            report_force(&http, &args, number).await
+            report_entries_in_force(&http, &args, number).await
         }
-        PublishOutcome::Lost { current, winner } => Err(CliError::Lost(format!(
+        PublishOutcome::Lost { current, winner } => Err(CliError::Conflict(format!(
             "another publication won: revision {current} is {winner}"
         ))),
     }
 }
 
-async fn report_force(
+/// Waits until the entries have put the revision in force, and prints at how many
+/// it is.
+async fn report_entries_in_force(
     http: &HttpClient,
     args: &PublishArgs,
     number: RevisionNumber,
@@ -78,16 +80,16 @@
     if args.entries.is_empty() {
         return Ok(());
     }
-    let patience = Duration::from_secs(args.wait);
-    let report = await_force(http, &args.entries, number, patience).await;
-    let asked = args.entries.len();
+    let timeout = Duration::from_secs(args.wait);
+    let report = await_force(http, &args.entries, number, timeout).await;
+    let checked = args.entries.len();
     let reached = report.in_force.len();
-    print_text(&format!("in force at {reached} of {asked} entries\n"));
+    print_text(&format!("in force at {reached} of {checked} entries\n"));
     if report.missing.is_empty() {
         return Ok(());
     }
     let missing: Vec<String> = report.missing.iter().map(SocketAddr::to_string).collect();
-    Err(CliError::NotEverywhere(format!(
+    Err(CliError::NotInForce(format!(
         "not in force yet at {}",
         missing.join(", ")
     )))
--- a/cli/src/commands/request.rs
+++ b/cli/src/commands/request.rs
@@ -1,4 +1,4 @@
-//! `cloverbend request`: sends a chat or a call from the shell.
+//! `cloverbend request`: sends a chat or a call to a service.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 
 use super::EntryArgs;
 use super::KeyArgs;
-use super::caller;
+use super::build_caller;
 use crate::cli_error::CliError;
 use crate::output::print_text;
 
 /// Subcommands of `request`.
 #[derive(Debug, Subcommand)]
 pub enum RequestCommand {
-    /// Stream a chat with a model service
+    /// Send a chat message to a model service and stream the response
     Chat(ChatArgs),
-    /// Call a plain service, at most once
+    /// Call a plain service; the call runs at most once
     Call(CallArgs),
 }
 
@@ -34,13 +34,13 @@
     /// The model service
     #[arg(long)]
     model: ServiceName,
-    /// The most tokens to generate
+    /// The maximum number of tokens to generate
     #[arg(long)]
     max_tokens: Option<u64>,
-    /// How long to wait, in milliseconds
+    /// How long the request may take, in milliseconds
     #[arg(long)]
     deadline: Option<u64>,
-    /// What to say
+    /// The text of the message
     text: String,
 }
 
@@ -54,26 +54,26 @@
     /// The plain service
     #[arg(long)]
     service: ServiceName,
-    /// The path below the service
+    /// The path on the service
     #[arg(long, default_value = "/")]
     path: String,
-    /// How long to wait, in milliseconds
+    /// How long the request may take, in milliseconds
     #[arg(long)]
     deadline: Option<u64>,
-    /// The body (JSON)
+    /// The request body (JSON)
     body: String,
 }
 
 /// Runs `request`.
 pub async fn run(command: RequestCommand) -> Result<(), CliError> {
     match command {
-        RequestCommand::Chat(args) => chat(args).await,
-        RequestCommand::Call(args) => call(args).await,
+        RequestCommand::Chat(args) => send_chat(args).await,
+        RequestCommand::Call(args) => send_call(args).await,
     }
 }
 
-async fn chat(args: ChatArgs) -> Result<(), CliError> {
-    let mut caller = caller(&args.entry, &args.key)?;
+async fn send_chat(args: ChatArgs) -> Result<(), CliError> {
+    let mut caller = build_caller(&args.entry, &args.key)?;
     let body = ChatBody {
         model: args.model,
         messages: vec![ChatMessage {
@@ -95,8 +95,8 @@
     Ok(())
 }
 
-async fn call(args: CallArgs) -> Result<(), CliError> {
-    let mut caller = caller(&args.entry, &args.key)?;
+async fn send_call(args: CallArgs) -> Result<(), CliError> {
+    let mut caller = build_caller(&args.entry, &args.key)?;
     let call = ServiceCall {
         service: args.service,
         path: args.path,
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -1,4 +1,5 @@
-//! `cloverbend status`: how an entry, the others and the backend servers do.
+//! `cloverbend status`: shows the state of an entry, its peers and the backend
+//! servers.
 
 use std::time::Duration;
 
@@ -14,8 +15,8 @@
 use crate::output::print_table;
 use crate::output::print_text;
 
-/// How long an entry may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+/// How long an entry may take to respond.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Arguments of `status`.
 #[derive(Debug, Args)]
@@ -27,31 +28,31 @@
     json: bool,
 }
 
-/// Runs `status` against the first entry that answers.
+/// Runs `status` against the first entry that responds.
 pub async fn run(args: StatusArgs) -> Result<(), CliError> {
     let http = HttpClient::new();
-    let mut last = None;
+    let mut last_error = None;
     for entry in &args.entry.entries {
         let url = format!("http://{entry}/v1/status");
-        match http.get_json::<StatusAnswer>(&url, TIMEOUT).await {
+        match http.get_json::<StatusAnswer>(&url, QUERY_TIMEOUT).await {
             Ok(answer) if args.json => {
                 print_json(&answer);
                 return Ok(());
             }
             Ok(answer) => {
-                describe(&answer);
+                print_status(&answer);
                 return Ok(());
             }
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
     }
-    Err(match last {
+    Err(match last_error {
         Some(error) => CliError::Query(error),
-        None => CliError::Usage("no entry was named".to_owned()),
+        None => CliError::Usage("no entry address given".to_owned()),
     })
 }
 
-fn describe(answer: &StatusAnswer) {
+fn print_status(answer: &StatusAnswer) {
     let mut entries = vec![entry_row(&answer.entry)];
     entries.extend(answer.others.iter().map(entry_row));
     let header = ["ENTRY", "ADDRESS", "ZONE", "HEALTH", "STATE", "REVISION"];
--- a/cli/src/commands/trace.rs
+++ b/cli/src/commands/trace.rs
@@ -1,4 +1,4 @@
-//! `cloverbend trace`: the spans of a trace, as the entries kept them.
+//! `cloverbend trace`: collects the spans of a trace from the entries.
 
 use std::time::Duration;
 
@@ -11,38 +11,39 @@
 use crate::output::print_json;
 use crate::output::print_table;
 
-/// How long an entry may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+/// How long an entry may take to respond.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Arguments of `trace`.
 #[derive(Debug, Args)]
 pub struct TraceArgs {
     #[command(flatten)]
     entry: EntryArgs,
-    /// The trace, 32 hexadecimal digits
+    /// The trace identifier, 32 hexadecimal digits
     trace: String,
     /// Print JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Runs `trace`: asks every entry named, since each keeps its own hops.
+/// Runs `trace`. Queries every entry given, since each stores only its own
+/// spans.
 pub async fn run(args: TraceArgs) -> Result<(), CliError> {
     let http = HttpClient::new();
     let mut spans: Vec<SpanRecord> = Vec::new();
-    let mut answered = false;
-    let mut last = None;
+    let mut any_responded = false;
+    let mut last_error = None;
     for entry in &args.entry.entries {
         let url = format!("http://{entry}/v1/traces/{}", args.trace);
-        match http.get_json::<Vec<SpanRecord>>(&url, TIMEOUT).await {
+        match http.get_json::<Vec<SpanRecord>>(&url, QUERY_TIMEOUT).await {
             Ok(found) => {
-                answered = true;
+                any_responded = true;
                 spans.extend(found);
             }
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
     }
-    if let (false, Some(error)) = (answered, last) {
+    if let (false, Some(error)) = (any_responded, last_error) {
         return Err(error.into());
     }
     spans.sort_by_key(|span| span.start_us);
@@ -50,22 +51,22 @@
         print_json(&spans);
         return Ok(());
     }
-    let begin = spans.first().map_or(0, |span| span.start_us);
-    let rows: Vec<Vec<String>> = spans.iter().map(|span| row(span, begin)).collect();
+    let trace_start = spans.first().map_or(0, |span| span.start_us);
+    let rows: Vec<Vec<String>> = spans.iter().map(|span| row(span, trace_start)).collect();
     print_table(&["START ms", "TIME ms", "ENTRY", "HOP", "DETAILS"], &rows);
     Ok(())
 }
 
-fn row(span: &SpanRecord, begin: u64) -> Vec<String> {
+fn row(span: &SpanRecord, trace_start: u64) -> Vec<String> {
     vec![
-        millis(span.start_us - begin),
-        millis(span.duration_us),
+        format_millis(span.start_us - trace_start),
+        format_millis(span.duration_us),
         span.entry.clone(),
         span.name.clone(),
         span.attributes.join(" "),
     ]
 }
 
-fn millis(micros: u64) -> String {
+fn format_millis(micros: u64) -> String {
     format!("{:.1}", micros as f64 / 1_000.0)
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `cloverbend`, the command line for operators and callers.
+//! `cloverbend`, the command-line tool for operators and callers.
 
 mod cli_error;
 mod commands;
@@ -10,7 +10,7 @@
 
 use crate::commands::Command;
 
-/// Publishes configuration, asks entries how they do, and sends requests.
+/// Publishes configurations, queries entries and sends requests.
 #[derive(Debug, Parser)]
 #[command(name = "cloverbend", version, max_term_width = 100)]
 struct CliArgs {
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,10 +1,11 @@
-//! Tables and JSON on standard output.
+//! Prints text, tables and JSON on standard output.
 
 use std::io::Write;
 
 use serde::Serialize;
 
-/// Prints text. A closed pipe ends the command quietly.
+/// Prints text. Exits with code 0 if it cannot be written, for example because the
+/// reader closed the pipe.
 pub fn print_text(text: &str) {
     let mut output = std::io::stdout().lock();
     if output.write_all(text.as_bytes()).is_err() || output.flush().is_err() {
@@ -12,13 +13,13 @@
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub fn print_json<T: Serialize>(value: &T) {
     let text = serde_json::to_string_pretty(value).unwrap_or_default();
     print_text(&format!("{text}\n"));
 }
 
-/// Prints rows in columns that are as wide as their widest cell.
+/// Prints a table whose columns are as wide as their widest cell.
 pub fn print_table(header: &[&str], rows: &[Vec<String>]) {
     let mut widths: Vec<usize> = header.iter().map(|cell| cell.len()).collect();
     for row in rows {
--- a/cli/tests/test_cli_commands.rs
+++ b/cli/tests/test_cli_commands.rs
@@ -1,4 +1,4 @@
-//! Subcommands that need no entry: checks, policies, keys, completions, usage.
+//! Tests of the subcommands that need no entry, and of usage errors.
 
 use std::path::Path;
 use std::process::Command;
@@ -6,7 +6,7 @@
 
 use cloverbend_testutils::sample::cold_chain;
 
-fn cloverbend(folder: &Path, args: &[&str]) -> Output {
+fn run_cli(folder: &Path, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_cloverbend"))
         .args(args)
         .current_dir(folder)
@@ -17,47 +17,49 @@
         .unwrap()
 }
 
-fn report(output: &Output) -> String {
+fn format_report(output: &Output) -> String {
     let code = output.status.code().unwrap_or(-1);
     let out = String::from_utf8_lossy(&output.stdout);
     let err = String::from_utf8_lossy(&output.stderr);
     format!("exit {code}\n{out}{err}")
 }
 
-fn folder() -> tempfile::TempDir {
+/// Returns a folder with a valid configuration in `good.json` and an invalid one
+/// in `bad.json`.
+fn sample_folder() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
-    let good = serde_json_text(&cold_chain());
+    let good = config_json(&cold_chain());
     std::fs::write(folder.path().join("good.json"), good).unwrap();
     let mut bad = cold_chain();
     bad.accounts[1] = bad.accounts[0].clone();
     bad.accounts[0].policy = "nobody".parse().unwrap();
     bad.policies[0].program = "#{ allow: ".to_owned();
     bad.services[0].min_replicas = 90;
-    let bad = serde_json_text(&bad);
+    let bad = config_json(&bad);
     std::fs::write(folder.path().join("bad.json"), bad).unwrap();
     folder
 }
 
-fn serde_json_text(document: &cloverbend::configuration::ConfigDocument) -> String {
+fn config_json(document: &cloverbend::configuration::ConfigDocument) -> String {
     serde_json::to_string_pretty(document).unwrap()
 }
 
 #[test]
 fn check_reports_every_finding_with_its_place() {
-    let folder = folder();
-    let good = cloverbend(folder.path(), &["check", "good.json"]);
-    insta::assert_snapshot!(report(&good), @r"
+    let folder = sample_folder();
+    let good = run_cli(folder.path(), &["check", "good.json"]);
+    insta::assert_snapshot!(format_report(&good), @r"
     exit 0
     good.json: valid: 2 services, 2 accounts, 1 policies
     ");
-    let bad = cloverbend(folder.path(), &["check", "bad.json"]);
-    insta::assert_snapshot!("check_bad", report(&bad));
+    let bad = run_cli(folder.path(), &["check", "bad.json"]);
+    insta::assert_snapshot!("check_bad", format_report(&bad));
 }
 
 #[test]
-fn policy_test_tells_what_an_account_would_get() {
-    let folder = folder();
-    let allowed = cloverbend(
+fn policy_test_prints_the_decision_for_an_account() {
+    let folder = sample_folder();
+    let allowed = run_cli(
         folder.path(),
         &[
             "policy",
@@ -69,7 +71,7 @@
             "excursion-reports",
         ],
     );
-    insta::assert_snapshot!(report(&allowed), @r"
+    insta::assert_snapshot!(format_report(&allowed), @r"
     exit 0
     depots to excursion-reports: allowed
     priority   4
@@ -77,7 +79,7 @@
     max price  5
     reason
     ");
-    let refused = cloverbend(
+    let refused = run_cli(
         folder.path(),
         &[
             "policy",
@@ -89,7 +91,7 @@
             "alert-gateway",
         ],
     );
-    insta::assert_snapshot!(report(&refused), @r"
+    insta::assert_snapshot!(format_report(&refused), @r"
     exit 0
     depots to alert-gateway: refused
     priority   5
@@ -100,8 +102,8 @@
 }
 
 #[test]
-fn missing_input_is_named_with_a_hint() {
-    let folder = folder();
+fn a_missing_key_or_file_is_reported_with_a_hint() {
+    let folder = sample_folder();
     let args = [
         "request",
         "call",
@@ -111,50 +113,50 @@
         "x",
         "{}",
     ];
-    let no_key = cloverbend(folder.path(), &args);
-    insta::assert_snapshot!(report(&no_key), @r"
+    let no_key = run_cli(folder.path(), &args);
+    insta::assert_snapshot!(format_report(&no_key), @r"
     exit 2
-    Error: no key: give --key-file or CLOVERBEND_KEY
+    Error: no key: pass --key-file or set CLOVERBEND_KEY
     Hint: see --help
     ");
-    let no_file = cloverbend(folder.path(), &["check", "absent.json"]);
-    insta::assert_snapshot!(report(&no_file), @r"
+    let no_file = run_cli(folder.path(), &["check", "absent.json"]);
+    insta::assert_snapshot!(format_report(&no_file), @r"
     exit 2
     Error: absent.json: No such file or directory (os error 2)
-    Hint: name a file that exists and can be read
+    Hint: pass a file that exists and can be read
     ");
 }
 
 #[test]
-fn a_new_key_and_its_hash_belong_together() {
-    let folder = folder();
-    let made = report(&cloverbend(folder.path(), &["key", "new"]));
-    let value = |name: &str| {
-        let line = made
+fn a_new_key_is_printed_with_its_hash() {
+    let folder = sample_folder();
+    let new_key = format_report(&run_cli(folder.path(), &["key", "new"]));
+    let value_of = |name: &str| {
+        let line = new_key
             .lines()
             .find(|line| line.starts_with(&format!("{name} ")));
         line.and_then(|line| line.split_whitespace().nth(1))
             .unwrap()
             .to_owned()
     };
-    std::fs::write(folder.path().join("key"), value("key")).unwrap();
-    let hash = report(&cloverbend(
+    std::fs::write(folder.path().join("key"), value_of("key")).unwrap();
+    let hash = format_report(&run_cli(
         folder.path(),
         &["key", "hash", "--key-file", "key"],
     ));
-    assert_eq!(hash.trim_end(), format!("exit 0\n{}", value("key_hash")));
+    assert_eq!(hash.trim_end(), format!("exit 0\n{}", value_of("key_hash")));
 }
 
 #[test]
-fn completions_are_printed() {
-    let folder = folder();
-    let text = report(&cloverbend(folder.path(), &["completions", "bash"]));
+fn completions_prints_a_bash_script() {
+    let folder = sample_folder();
+    let text = format_report(&run_cli(folder.path(), &["completions", "bash"]));
     assert!(text.starts_with("exit 0") && text.contains("_cloverbend"));
 }
 
 #[test]
-fn losses_are_shown_as_a_table_and_bad_lines_named() {
-    let folder = folder();
+fn losses_prints_a_table_and_reports_invalid_lines() {
+    let folder = sample_folder();
     let lines = [
         r#"{"msg":"request sent","ts":"1","request":"a","route":"chat","unread_tokens":26000,"target_ms":500}"#,
         r#"{"msg":"request answered","ts":"2","request":"a","events":9,"first_event_ms":683}"#,
@@ -162,22 +164,26 @@
         "{cut",
     ];
     std::fs::write(folder.path().join("entry.log"), lines.join("\n")).unwrap();
-    let shown = cloverbend(folder.path(), &["losses", "entry.log"]);
-    let missing = cloverbend(folder.path(), &["losses", "no-such.log"]);
-    insta::assert_snapshot!(format!("{}--\n{}", report(&shown), report(&missing)));
+    let table = run_cli(folder.path(), &["losses", "entry.log"]);
+    let missing = run_cli(folder.path(), &["losses", "no-such.log"]);
+    insta::assert_snapshot!(format!(
+        "{}--\n{}",
+        format_report(&table),
+        format_report(&missing)
+    ));
 }
 
 #[test]
-fn explain_shows_what_logs_say_of_a_request() {
-    let folder = folder();
+fn explain_prints_the_log_lines_of_a_request() {
+    let folder = sample_folder();
     let log = r#"{"msg":"request sent","ts":"2","entry":"entry-1","request":"abc","backend":"b-1"}
 broken
 {"msg":"limit reached","ts":"1","entry":"entry-1","request":"abc","units":12}
 "#;
     std::fs::write(folder.path().join("entry.log"), log).unwrap();
-    let found = cloverbend(folder.path(), &["explain", "abc", "entry.log"]);
-    let missing = cloverbend(folder.path(), &["explain", "xyz", "entry.log"]);
-    let json = cloverbend(folder.path(), &["explain", "abc", "entry.log", "--json"]);
-    let reports = [found, missing, json].map(|output| report(&output));
+    let lines = run_cli(folder.path(), &["explain", "abc", "entry.log"]);
+    let missing = run_cli(folder.path(), &["explain", "xyz", "entry.log"]);
+    let json = run_cli(folder.path(), &["explain", "abc", "entry.log", "--json"]);
+    let reports = [lines, missing, json].map(|output| format_report(&output));
     insta::assert_snapshot!(reports.join("--\n"));
 }
--- a/cli/tests/test_entry_commands.rs
+++ b/cli/tests/test_entry_commands.rs
@@ -1,4 +1,5 @@
-//! Subcommands against a deployment within this process.
+//! Tests of the subcommands that contact entries, against a deployment that runs
+//! in the test's process.
 
 use std::process::Command;
 
@@ -8,7 +9,9 @@
 use cloverbend_testutils::sample::DISPATCH_KEY;
 use cloverbend_testutils::sample::cold_chain;
 
-async fn cloverbend(deployment: &LocalDeployment, key: &str, args: &[&str]) -> (i32, String) {
+/// Runs the command with the environment set for the deployment; returns its exit
+/// code and its output.
+async fn run_cli(deployment: &LocalDeployment, key: &str, args: &[&str]) -> (i32, String) {
     let entries: Vec<String> = deployment
         .addresses
         .iter()
@@ -29,18 +32,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_and_a_caller_do_their_work() {
+async fn commands_of_operators_and_callers_work_against_two_entries() {
     let deployment = LocalDeployment::start(2, PlatformShape::default(), "")
         .await
         .unwrap();
-    let (code, text) = cloverbend(&deployment, "", &["entries"]).await;
+    let (code, text) = run_cli(&deployment, "", &["entries"]).await;
     assert_eq!(code, 0, "{text}");
     assert!(
         text.contains("entry-1") && text.contains("valid for 5 s"),
         "{text}"
     );
 
-    let (code, text) = cloverbend(&deployment, "", &["status"]).await;
+    let (code, text) = run_cli(&deployment, "", &["status"]).await;
     assert_eq!(code, 0, "{text}");
     assert!(
         text.contains("engine-4") && text.contains("serving"),
@@ -56,11 +59,11 @@
         "5",
         "hello",
     ];
-    let (code, text) = cloverbend(&deployment, DEPOT_KEY, &args).await;
+    let (code, text) = run_cli(&deployment, DEPOT_KEY, &args).await;
     assert_eq!(code, 0, "{text}");
     assert!(text.contains("5 chunks, continued 0 times"), "{text}");
     let trace = text.trim_end().rsplit(' ').next().unwrap().to_owned();
-    let (code, text) = cloverbend(&deployment, "", &["trace", &trace]).await;
+    let (code, text) = run_cli(&deployment, "", &["trace", &trace]).await;
     assert_eq!(code, 0, "{text}");
     assert!(text.contains("entry") && text.contains("engine"), "{text}");
 
@@ -73,26 +76,26 @@
         "/dispatch",
         "{}",
     ];
-    let (code, text) = cloverbend(&deployment, DISPATCH_KEY, &args).await;
+    let (code, text) = run_cli(&deployment, DISPATCH_KEY, &args).await;
     assert_eq!(code, 0, "{text}");
     assert!(
         text.contains("status 200") && text.contains("\"run\":1"),
         "{text}"
     );
 
-    let (code, text) = cloverbend(&deployment, "wrong", &args).await;
+    let (code, text) = run_cli(&deployment, "wrong", &args).await;
     assert_eq!(code, 1, "{text}");
 
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("next.json");
     std::fs::write(&file, serde_json::to_string(&cold_chain()).unwrap()).unwrap();
     let file = file.display().to_string();
-    let (code, text) = cloverbend(&deployment, "", &["publish", &file]).await;
+    let (code, text) = run_cli(&deployment, "", &["publish", &file]).await;
     assert_eq!(code, 0, "{text}");
     assert!(text.contains("accepted as revision 2"), "{text}");
     assert!(text.contains("in force at 2 of 2 entries"), "{text}");
     let args = ["publish", &file, "--replaces", "1"];
-    let (code, text) = cloverbend(&deployment, "", &args).await;
+    let (code, text) = run_cli(&deployment, "", &args).await;
     assert_eq!(code, 1, "{text}");
     assert!(text.contains("another publication won"), "{text}");
 }
