--- a/daemon/src/gateway_entry.rs
+++ b/daemon/src/gateway_entry.rs
@@ -1,4 +1,5 @@
-//! Runs an entry on the users' platform.
+//! Runs an entry with the platform interface: the formats and APIs of the platform
+//! that the services run on.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -18,15 +19,16 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Serves until a signal stops the entry.
+/// Runs the entry until SIGTERM or SIGINT stops it.
 ///
 /// # Errors
 ///
-/// An address that cannot be listened on, or a signal that cannot be caught.
+/// Fails if an address cannot be listened on or a signal handler cannot be
+/// installed.
 pub async fn run(settings: GatewaySettings, file: &Path) -> Result<(), String> {
     let log = build_logger(settings.log_format, settings.log_level);
     let http = HttpClient::new();
-    let edges = PlatformAdapters {
+    let adapters = PlatformAdapters {
         format: Arc::new(WireFormat),
         store: Arc::new(StoreCalls::new(http, settings.store_address)),
         cloud: Arc::new(CloudCalls::new(settings.cloud_address)),
@@ -35,7 +37,7 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|error| error.to_string())?;
     let mut hangup = signal(SignalKind::hangup()).map_err(|error| error.to_string())?;
-    let daemon = GatewayDaemon::start(settings.clone(), edges, log.clone())
+    let daemon = GatewayDaemon::start(settings.clone(), adapters, log.clone())
         .await
         .map_err(|error| error.to_string())?;
     loop {
@@ -49,8 +51,8 @@
     Ok(())
 }
 
-/// Reads the settings again. Addresses and bounds only change with a restart;
-/// what differs is told, so that nobody takes it for being in force.
+/// Reads and checks the settings file again. Applies nothing: changes take effect
+/// only with a restart, and the log line states whether one is needed.
 fn reload(settings: &GatewaySettings, file: &Path, log: &Logger) {
     let name = file.display().to_string();
     let text = match std::fs::read_to_string(file) {
@@ -61,8 +63,9 @@
         }
     };
     match GatewaySettings::parse(&name, &text) {
-        Ok(read) => {
-            info!(log, "settings reloaded"; "file" => name, "needs_restart" => read != *settings);
+        Ok(new_settings) => {
+            info!(log, "settings reloaded";
+                "file" => name, "needs_restart" => new_settings != *settings);
         }
         Err(findings) => {
             warn!(log, "settings not reloaded"; "file" => name, "error" => %findings);
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `cloverbendd`, the daemon of every entry VM.
+//! `cloverbendd`, the daemon that runs on every entry VM.
 
 mod gateway_entry;
 mod own_entry;
@@ -14,21 +14,22 @@
 use tokio::runtime::Builder;
 use tokio::runtime::Runtime;
 
-/// The exit code for settings that are not valid.
-const BAD_SETTINGS: u8 = 2;
-/// The exit code for a daemon that could not start.
-const START_FAILED: u8 = 1;
+/// The exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// The exit code for a daemon that cannot start.
+const EXIT_FAILURE: u8 = 1;
 
-/// Which interface callers and the platform meet.
+/// Which interface the daemon offers to callers and uses with the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum InterfaceKind {
-    /// The product's own: tickets, chats, calls.
+    /// The product's own interface: tickets, chats and calls.
     Own,
-    /// The users' platform.
+    /// The interface of the platform that the services run on.
     Platform,
 }
 
-/// Serves callers and keeps their requests safe. SIGTERM is a planned stop.
+/// Serves callers and forwards their requests to backend servers. SIGTERM starts
+/// a planned stop, which lets open requests end or hands them over.
 #[derive(Debug, Parser)]
 #[command(name = "cloverbendd", version)]
 struct DaemonArgs {
@@ -43,7 +44,7 @@
     check: bool,
 }
 
-/// Checked settings of either interface.
+/// Parsed settings, for either interface.
 enum DaemonSettings {
     Own(Box<EntrySettings>),
     Platform(Box<GatewaySettings>),
@@ -55,7 +56,7 @@
         Ok(settings) => settings,
         Err(message) => {
             eprintln!("{message}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
@@ -77,13 +78,13 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("{message}");
-            ExitCode::from(START_FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
-/// Builds the runtime. An entry on the platform has a quarter of a core, which
-/// one thread uses best and with the least memory.
+/// Builds the async runtime. With the platform interface an entry has a quarter of
+/// a core: one thread is the most efficient there and needs the least memory.
 fn build_runtime(settings: &DaemonSettings) -> std::io::Result<Runtime> {
     match settings {
         DaemonSettings::Own(settings) => Builder::new_multi_thread()
@@ -98,13 +99,13 @@
     let file = args.settings.display().to_string();
     let text = std::fs::read_to_string(&args.settings)
         .map_err(|error| format!("{file}: cannot be read: {error}"))?;
-    let said = |findings: FindingList| findings.to_string();
+    let to_message = |findings: FindingList| findings.to_string();
     match args.interface {
         InterfaceKind::Own => EntrySettings::parse(&file, &text)
             .map(|settings| DaemonSettings::Own(Box::new(settings)))
-            .map_err(said),
+            .map_err(to_message),
         InterfaceKind::Platform => GatewaySettings::parse(&file, &text)
             .map(|settings| DaemonSettings::Platform(Box::new(settings)))
-            .map_err(said),
+            .map_err(to_message),
     }
 }
--- a/daemon/src/own_entry.rs
+++ b/daemon/src/own_entry.rs
@@ -6,11 +6,11 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Serves until a signal or a reclaim notice stops the entry.
+/// Runs the entry until SIGTERM, SIGINT or a reclaim notice stops it.
 ///
 /// # Errors
 ///
-/// An entry that cannot start, or a signal that cannot be caught.
+/// Fails if the entry cannot start or a signal handler cannot be installed.
 pub async fn run(settings: EntrySettings) -> Result<(), String> {
     let log = build_logger(settings.log_format, settings.log_level);
     let daemon = EntryDaemon::start(settings, log)
@@ -18,7 +18,7 @@
         .map_err(|error| error.to_string())?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|error| error.to_string())?;
-    // A reclaim notice stops the daemon without a signal.
+    // A reclaim notice cancels this token; no signal is sent.
     let stop = daemon.context().stop.clone();
     tokio::select! {
         _ = terminate.recv() => daemon.stop(),
--- a/daemon/tests/test_config_size.rs
+++ b/daemon/tests/test_config_size.rs
@@ -1,4 +1,5 @@
-//! What a large configuration costs a hub with many slow entries around it.
+//! Tests that a hub stays within its memory while it sends a large configuration
+//! to many slow entries.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -24,36 +25,37 @@
 use tokio_util::sync::CancellationToken;
 
 const MB: u64 = 1_024 * 1_024;
-/// The most memory that the entry may ever have: an eighth of its VM's 512 MB.
-const MEMORY_BOUND: ByteCount = ByteCount(64 * MB);
-/// The memory of an entry's VM. A case ends here, as the process would.
+/// The maximum memory of the hub: an eighth of its VM's 512 MB.
+const MEMORY_LIMIT: ByteCount = ByteCount(64 * MB);
+/// The memory of an entry's VM. A case ends early when the hub uses all of it.
 const VM_MEMORY: ByteCount = ByteCount(512 * MB);
-/// Routes of the large document, which has about 1.1 MB with them.
+/// The number of routes in the large document, which makes it about 1.1 MB.
 const ROUTES: usize = 4_200;
-/// Routes of the document with which all begin.
+/// The number of routes in the first document.
 const FIRST_ROUTES: usize = 5;
-/// The revision with which all begin.
-const FIRST: u64 = 1;
-/// The last revision.
-const LAST: u64 = 4;
-/// The pause between revisions.
-const REVISION_PAUSE: Duration = Duration::from_millis(1_000);
-/// How long the entry is watched after the last revision.
-const WATCH_TIME: Duration = Duration::from_secs(5);
-/// What the entry sent to others.
-const SENT_BYTES: &str = "cloverbend_peer_sent_bytes_total";
-/// The pause between looks at the entry.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// How long the entries may take to hear each other.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Of how many entries one reads nothing.
+/// The revision that all entries start with.
+const FIRST_REVISION: u64 = 1;
+/// The last revision that is published.
+const LAST_REVISION: u64 = 4;
+/// The time between two revisions.
+const REVISION_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long the hub is observed after the last revision.
+const OBSERVATION_TIME: Duration = Duration::from_secs(5);
+/// The metric of the bytes that the hub sent to other entries.
+const SENT_BYTES_METRIC: &str = "cloverbend_peer_sent_bytes_total";
+/// The time between two queries of the hub.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long the hub may take to receive gossip from all other entries.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
+/// One in this many entries accepts connections and reads nothing.
 const STALLED_EVERY: usize = 8;
 
-/// Cases would take each other's processors and ports.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::const_new(());
+/// Held by the case that runs: cases in parallel would compete for processors and
+/// ports.
+static CASE_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// A hub on the store, with other entries played around it.
-struct HubWorld {
+/// A hub that reads from the store, with simulated entries as its peers.
+struct HubDeployment {
     store: Arc<StoreStandin>,
     entry: EntryProcess,
     http: HttpClient,
@@ -61,27 +63,27 @@
     _folder: TempDir,
 }
 
-impl Drop for HubWorld {
+impl Drop for HubDeployment {
     fn drop(&mut self) {
         self.stop.cancel();
     }
 }
 
-impl HubWorld {
-    async fn start(others: usize, held: HeldRevision, fault: StoreFault) -> Self {
+impl HubDeployment {
+    async fn start(others: usize, revision: HeldRevision, fault: StoreFault) -> Self {
         let stop = CancellationToken::new();
         let store = StoreStandin::new();
-        store.publish(&large_document(FIRST, FIRST_ROUTES));
+        store.publish(&large_document(FIRST_REVISION, FIRST_ROUTES));
         let door = store.open_door(stop.clone()).await.unwrap();
         door.set_fault(fault);
         let cloud = CloudStandin::default().serve(stop.clone()).await.unwrap();
         let start = |number| {
             let pace = pace_of(number);
-            let light = LightEntry::start(number, held.clone(), pace, stop.clone()).unwrap();
-            light.join(&store);
-            light
+            let entry = LightEntry::start(number, revision.clone(), pace, stop.clone()).unwrap();
+            entry.join(&store);
+            entry
         };
-        let lights: Vec<LightEntry> = (0..others).map(start).collect();
+        let peers: Vec<LightEntry> = (0..others).map(start).collect();
         let folder = tempfile::tempdir().unwrap();
         let plan = EntryPlan {
             program: PathBuf::from(env!("CARGO_BIN_EXE_cloverbendd")),
@@ -93,8 +95,8 @@
             cloud,
         };
         let entry = EntryProcess::start(&plan).await.unwrap();
-        for light in lights {
-            light.follow(entry.peers);
+        for peer in peers {
+            peer.follow(entry.peers);
         }
         let http = HttpClient::new();
         Self {
@@ -106,53 +108,56 @@
         }
     }
 
-    /// Waits until the hub has the first revision and hears all others.
-    async fn wait_until_heard(&self, others: usize) {
-        let begun = Instant::now();
+    /// Waits until the hub has the first revision and has received gossip from all
+    /// others.
+    async fn wait_until_connected(&self, others: usize) {
+        let started_at = Instant::now();
         loop {
-            let heard = self.entry.metric(&self.http, "cloverbend_entries_heard");
-            let heard = heard.await.unwrap_or_default() as usize;
-            if heard == others + 1 && self.entry.has_revision(&self.http, FIRST).await {
+            let count = self.entry.metric(&self.http, "cloverbend_entries_heard");
+            let count = count.await.unwrap_or_default() as usize;
+            if count == others + 1 && self.entry.has_revision(&self.http, FIRST_REVISION).await {
                 return;
             }
             assert!(
-                begun.elapsed() < PATIENCE,
-                "{heard} of {} heard",
+                started_at.elapsed() < DISCOVERY_TIMEOUT,
+                "gossip received from {count} of {} entries",
                 others + 1
             );
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Watches the entry for a time, or until it has used its VM's memory;
-    /// returns whether that came first.
-    async fn fills_memory(&self, time: Duration) -> bool {
-        let begun = Instant::now();
-        while begun.elapsed() < time {
+    /// Observes the hub until `time` has passed or it has used its VM's memory;
+    /// returns whether it has used the memory.
+    async fn exhausts_memory(&self, time: Duration) -> bool {
+        let started_at = Instant::now();
+        while started_at.elapsed() < time {
             if self.entry.peak_memory().unwrap() >= VM_MEMORY {
                 return true;
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         false
     }
 
+    /// Publishes the large revisions in turn. Stops early once the hub has used its
+    /// VM's memory.
     async fn publish_revisions(&self) {
-        for version in FIRST + 1..=LAST {
+        for version in FIRST_REVISION + 1..=LAST_REVISION {
             self.store.publish(&large_document(version, ROUTES));
-            if self.fills_memory(REVISION_PAUSE).await {
+            if self.exhausts_memory(REVISION_INTERVAL).await {
                 return;
             }
         }
-        self.fills_memory(WATCH_TIME).await;
+        self.exhausts_memory(OBSERVATION_TIME).await;
     }
 
-    /// Measures the hub, and prints the figures.
+    /// Reads the figures of the hub and prints them.
     async fn measure(&self, others: usize) -> HubFigures {
         let peak = self.entry.peak_memory().unwrap();
-        let sent = self.entry.metric(&self.http, SENT_BYTES).await;
+        let sent = self.entry.metric(&self.http, SENT_BYTES_METRIC).await;
         let sent = ByteCount(sent.unwrap_or_default() as u64);
-        let has_last = self.entry.has_revision(&self.http, LAST).await;
+        let has_last = self.entry.has_revision(&self.http, LAST_REVISION).await;
         let figures = HubFigures {
             others,
             peak,
@@ -164,7 +169,7 @@
     }
 }
 
-/// What a hub came to.
+/// The memory and traffic of a hub in one case.
 struct HubFigures {
     others: usize,
     peak: ByteCount,
@@ -178,14 +183,14 @@
         let (others, has_last) = (self.others, self.has_last);
         write!(
             f,
-            "{others} others: peak {peak:.1} MB, {sent:.1} MB sent, last revision {has_last}"
+            "{others} others: peak {peak:.1} MB, {sent:.1} MB sent, has last revision: {has_last}"
         )
     }
 }
 
 impl HubFigures {
     fn check(&self) {
-        assert!(self.peak < MEMORY_BOUND, "memory over the bound; {self}");
+        assert!(self.peak < MEMORY_LIMIT, "memory over the limit; {self}");
         assert!(self.has_last, "the last revision is not in force; {self}");
     }
 }
@@ -198,48 +203,49 @@
     }
 }
 
-/// Publishes to a hub of entries that lag behind, and measures it.
-async fn spread(others: usize) -> HubFigures {
-    let held = HeldRevision {
-        number: RevisionNumber(FIRST),
+/// Publishes large revisions while the hub's peers read slowly or not at all, and
+/// measures the hub.
+async fn publish_and_measure(others: usize) -> HubFigures {
+    let revision = HeldRevision {
+        number: RevisionNumber(FIRST_REVISION),
         document: None,
     };
-    let world = HubWorld::start(others, held, StoreFault::None).await;
-    world.wait_until_heard(others).await;
-    world.publish_revisions().await;
-    world.measure(others).await
+    let deployment = HubDeployment::start(others, revision, StoreFault::None).await;
+    deployment.wait_until_connected(others).await;
+    deployment.publish_revisions().await;
+    deployment.measure(others).await
 }
 
 #[rstest]
 #[case::alone(0)]
 #[case::large_site(83)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_hub_of_slow_entries_keeps_its_memory(#[case] others: usize) {
-    let _turn = ONE_AT_A_TIME.lock().await;
-    let figures = spread(others).await;
+async fn a_hub_with_slow_entries_stays_within_its_memory_limit(#[case] others: usize) {
+    let _guard = CASE_LOCK.lock().await;
+    let figures = publish_and_measure(others).await;
     figures.check();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn the_memory_of_a_hub_does_not_grow_with_the_entries() {
-    let _turn = ONE_AT_A_TIME.lock().await;
-    let small = spread(9).await;
-    let large = spread(320).await;
+async fn the_memory_limit_of_a_hub_holds_for_9_and_320_entries() {
+    let _guard = CASE_LOCK.lock().await;
+    let small = publish_and_measure(9).await;
+    let large = publish_and_measure(320).await;
     small.check();
     large.check();
 }
 
-/// Entries that run side by side may be of different versions, so that all may
-/// tell the document unasked, as this version does, to one that starts anew.
+/// Entries of different versions may run side by side, and all entries of an earlier
+/// version send the document unasked to an entry that has just started.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_entry_that_all_send_the_document_keeps_its_memory() {
-    let _turn = ONE_AT_A_TIME.lock().await;
-    let held = HeldRevision {
-        number: RevisionNumber(LAST),
-        document: Some(large_document(LAST, ROUTES).into()),
+async fn an_entry_stays_within_its_memory_limit_when_all_others_send_the_document() {
+    let _guard = CASE_LOCK.lock().await;
+    let revision = HeldRevision {
+        number: RevisionNumber(LAST_REVISION),
+        document: Some(large_document(LAST_REVISION, ROUTES).into()),
     };
-    let world = HubWorld::start(83, held, StoreFault::Silent).await;
-    world.fills_memory(WATCH_TIME).await;
-    let figures = world.measure(83).await;
+    let deployment = HubDeployment::start(83, revision, StoreFault::Silent).await;
+    deployment.exhausts_memory(OBSERVATION_TIME).await;
+    let figures = deployment.measure(83).await;
     figures.check();
 }
--- a/daemon/tests/test_config_spread.rs
+++ b/daemon/tests/test_config_spread.rs
@@ -1,4 +1,5 @@
-//! A small run of the measurement of how a configuration spreads.
+//! Tests of `measure_spread`, which measures how a configuration spreads over the
+//! entries, with three entries.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 const REVISIONS: u64 = 2;
 const MEMORY_LIMIT: ByteCount = ByteCount(512 * 1_024 * 1_024);
 
-fn plan(folder: PathBuf, memory_limit: ByteCount) -> SpreadPlan {
+fn small_plan(folder: PathBuf, memory_limit: ByteCount) -> SpreadPlan {
     SpreadPlan {
         program: PathBuf::from(env!("CARGO_BIN_EXE_cloverbendd")),
         folder,
@@ -27,9 +28,9 @@
 }
 
 #[tokio::test]
-async fn the_spread_of_a_configuration_is_measured_at_all_entries() {
+async fn the_spread_of_a_configuration_is_measured_at_every_entry() {
     let folder = tempfile::tempdir().unwrap();
-    let plan = plan(folder.path().to_owned(), MEMORY_LIMIT);
+    let plan = small_plan(folder.path().to_owned(), MEMORY_LIMIT);
     let figures = measure_spread(plan).await.unwrap();
     let last = large_document(1 + REVISIONS, ROUTES);
     assert_eq!(figures.end, SpreadEnd::Settled);
@@ -45,9 +46,9 @@
 }
 
 #[tokio::test]
-async fn a_run_ends_when_the_entries_have_too_much_memory() {
+async fn a_run_ends_with_an_error_when_entries_exceed_the_memory_limit() {
     let folder = tempfile::tempdir().unwrap();
-    let plan = plan(folder.path().to_owned(), ByteCount(1));
+    let plan = small_plan(folder.path().to_owned(), ByteCount(1));
     let error = measure_spread(plan).await.unwrap_err();
     assert!(error.to_string().contains("MB in all"), "{error}");
 }
--- a/daemon/tests/test_processes.rs
+++ b/daemon/tests/test_processes.rs
@@ -1,4 +1,5 @@
-//! Entries and stand-ins as processes, driven through the public interface.
+//! Tests of entries, backend servers and platform services that run as separate
+//! processes, through the interface for callers.
 
 use std::time::Duration;
 
@@ -15,12 +16,12 @@
 async fn both_workloads_pass_through_three_entries() {
     let cluster = ProcessCluster::start(3, 2, 2).await.unwrap();
     let (body, expected) = sample_chat(&NOTES.repeat(40), 40);
-    for first in 0..3 {
-        let mut caller = cluster.caller(first, DEPOT_KEY);
+    for entry in 0..3 {
+        let mut caller = cluster.caller(entry, DEPOT_KEY);
         let outcome = caller.chat(body.clone(), None, |_| {}).await.unwrap();
         assert_eq!(outcome.text, expected);
-        let mut caller = cluster.caller(first, DISPATCH_KEY);
-        let outcome = caller.call(&sample_call(first as u32)).await.unwrap();
+        let mut caller = cluster.caller(entry, DISPATCH_KEY);
+        let outcome = caller.call(&sample_call(entry as u32)).await.unwrap();
         assert_eq!(outcome.status, 200);
     }
     assert_eq!(cluster.most_runs().await.unwrap(), 1);
@@ -36,12 +37,12 @@
     cluster.entries[0].signal("TERM").unwrap();
     let outcome = chat.await.unwrap().unwrap();
     assert_eq!((outcome.text, outcome.resumed), (expected, 0));
-    let ended = tokio::task::spawn_blocking(move || {
-        let ended = cluster.entries[0].wait(Duration::from_secs(30));
-        (cluster, ended)
+    let stop_task = tokio::task::spawn_blocking(move || {
+        let stopped = cluster.entries[0].wait(Duration::from_secs(30));
+        (cluster, stopped)
     });
-    let (_cluster, ended) = ended.await.unwrap();
-    assert!(ended.unwrap());
+    let (_cluster, stopped) = stop_task.await.unwrap();
+    assert!(stopped.unwrap());
 }
 
 #[tokio::test]
@@ -76,10 +77,10 @@
 #[tokio::test]
 async fn a_frozen_entry_that_wakes_runs_nothing_twice() {
     let cluster = ProcessCluster::start(3, 1, 2).await.unwrap();
-    let mut dispatches = Vec::new();
+    let mut calls = Vec::new();
     for truck in 0..40 {
         let mut caller = cluster.caller(0, DISPATCH_KEY);
-        dispatches.push(tokio::spawn(async move {
+        calls.push(tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(5 * u64::from(truck))).await;
             caller.call(&sample_call(truck)).await
         }));
@@ -88,9 +89,9 @@
     cluster.entries[0].signal("STOP").unwrap();
     tokio::time::sleep(Duration::from_secs(4)).await;
     cluster.entries[0].signal("CONT").unwrap();
-    for dispatch in dispatches {
-        // Outcomes that stay unknown are allowed; what ran twice is not.
-        let _ = dispatch.await.unwrap();
+    for call in calls {
+        // A call's outcome may stay unknown, but no call may run twice.
+        let _ = call.await.unwrap();
     }
     assert_eq!(cluster.most_runs().await.unwrap(), 1);
 }
@@ -116,15 +117,15 @@
     let cluster = ProcessCluster::start(4, 4, 2).await.unwrap();
     let (body, expected) = sample_chat(&NOTES.repeat(40), 200);
     let mut chats = Vec::new();
-    for first in [0, 0, 1, 2] {
-        let mut caller = cluster.caller(first, DEPOT_KEY);
+    for entry in [0, 0, 1, 2] {
+        let mut caller = cluster.caller(entry, DEPOT_KEY);
         let body = body.clone();
         chats.push(tokio::spawn(async move {
             caller.chat(body, None, |_| {}).await
         }));
     }
     tokio::time::sleep(Duration::from_millis(600)).await;
-    // Parts with the same number share a zone.
+    // The entry and the engine with the same index run in the same zone.
     cluster.entries[0].signal("KILL").unwrap();
     cluster.engines[0].process.signal("KILL").unwrap();
     for chat in chats {
@@ -141,7 +142,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let notice = Duration::from_secs(3);
     cluster.give_notice("entry-1", notice).await.unwrap();
-    // It hands over when half the notice is left, and dies about then.
+    // The entry hands over when half of the notice time is left; kill it during that.
     tokio::time::sleep(notice / 2 + Duration::from_millis(50)).await;
     cluster.entries[0].signal("KILL").unwrap();
     assert_eq!(chat.await.unwrap().unwrap().text, expected);
@@ -177,11 +178,11 @@
 async fn a_mirror_that_dies_mid_stream_is_replaced() {
     let cluster = ProcessCluster::start(3, 2, 2).await.unwrap();
     let mirror = cluster.status(0).await.unwrap().entry.mirror.unwrap();
-    let mut index = 0;
+    let mut mirror_index = 0;
     for other in 1..3 {
         let status = cluster.status(other).await.unwrap();
         if status.entry.incarnation == mirror {
-            index = other;
+            mirror_index = other;
         }
     }
     let (body, expected) = sample_chat(&NOTES.repeat(40), 200);
@@ -189,6 +190,6 @@
     let deadline = Some(Duration::from_secs(20));
     let chat = tokio::spawn(async move { caller.chat(body, deadline, |_| {}).await });
     tokio::time::sleep(Duration::from_millis(600)).await;
-    cluster.entries[index].signal("KILL").unwrap();
+    cluster.entries[mirror_index].signal("KILL").unwrap();
     assert_eq!(chat.await.unwrap().unwrap().text, expected);
 }
--- a/daemon/tests/test_soak.rs
+++ b/daemon/tests/test_soak.rs
@@ -1,5 +1,5 @@
-//! A short run of the fault soak with the real daemon, and every seed that
-//! ever failed.
+//! Short runs of the fault soak with the real daemon, and the seeds that have failed
+//! before.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,7 +12,8 @@
 use cloverbend_platform_standin::soak::run_soak;
 use rstest::rstest;
 
-/// The cloud checks no fence, and the store keeps what it has.
+/// The cloud does not check fencing tokens, and the store never returns to an older
+/// state.
 const UNFENCED: LeasePlan = LeasePlan {
     fencing: CloudFencing::Unchecked,
     returns: StoreReturns::Never,
@@ -20,17 +21,17 @@
 
 #[rstest]
 #[case::short(1, 0, SoakFaults::All)]
-// A key was given back while a request waited at a paused entry; the check was
-// wrong.
-#[case::key_given_back(31_008, 0, SoakFaults::All)]
-// An entry that started again counted what others knew before as known since
-// its start, and told it on as fresh.
-#[case::known_before_the_start(81_001, 0, SoakFaults::All)]
+// A removed key was restored while a request waited at a paused entry; the check
+// wrongly reported that the request ran with an expired key.
+#[case::key_restored(31_008, 0, SoakFaults::All)]
+// A restarted entry took old information of other entries for received since its
+// start, and relayed it as current.
+#[case::restarted_entry_relays_old_state(81_001, 0, SoakFaults::All)]
 #[case::large_configuration(2, 2_000, SoakFaults::All)]
-#[case::words_of_replicas(3, 0, SoakFaults::Words)]
+#[case::reports_of_replicas(3, 0, SoakFaults::Words)]
 #[case::lease_without_fencing(70_100, 0, SoakFaults::Lease(UNFENCED))]
 #[tokio::test]
-async fn no_promise_breaks_under_faults(
+async fn guarantees_hold_under_faults(
     #[case] seed: u64,
     #[case] routes: usize,
     #[case] faults: SoakFaults,
