--- a/cli/src/cli_error.rs
+++ b/cli/src/cli_error.rs
@@ -16,8 +16,8 @@
     Findings(FindingList),
     /// A file cannot be read.
     ReadFile(String, std::io::Error),
-    /// An argument is missing, or the configuration does not define the name that
-    /// it gives.
+    /// An argument is missing or refers to something that the configuration does
+    /// not define.
     Usage(String),
     /// A query to an entry failed.
     Query(HttpError),
--- a/cli/src/commands/key.rs
+++ b/cli/src/commands/key.rs
@@ -15,7 +15,7 @@
 pub enum KeyCommand {
     /// Generate a random key and print it with its hash
     New(NewArgs),
-    /// Print the hash of a key, as a configuration needs it
+    /// Print the hash of a key, for use as `key_hash` in a configuration
     Hash(KeyArgs),
 }
 
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -105,7 +105,7 @@
 }
 
 impl KeyArgs {
-    /// Returns the key from the file, or else from the environment.
+    /// Returns the key from the file, or else from `--key` or the environment.
     pub fn read(&self) -> Result<String, CliError> {
         if let Some(file) = &self.key_file {
             return Ok(read_file(file)?.trim().to_owned());
--- a/cli/src/commands/publish.rs
+++ b/cli/src/commands/publish.rs
@@ -32,10 +32,10 @@
     /// The revision that this configuration replaces; by default the one in force
     #[arg(long, value_name = "NUMBER")]
     replaces: Option<RevisionNumber>,
-    /// The name of this publication, random by default; each name is applied at most once
+    /// The name of this publication, random by default; a publication is applied at most once
     #[arg(long, value_name = "NAME")]
     publication: Option<PublicationId>,
-    /// An entry to check until the new revision is in force there; may be repeated
+    /// The address of an entry that is to put the new revision in force; may be repeated
     #[arg(
         long = "entry",
         value_name = "IP:PORT",
@@ -70,8 +70,8 @@
     }
 }
 
-/// Waits until the entries have put the revision in force, and prints at how many
-/// it is.
+/// Waits until the entries have put the revision in force or the wait time is over.
+/// Prints the number of entries that have it in force; fails if some do not.
 async fn report_entries_in_force(
     http: &HttpClient,
     args: &PublishArgs,
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -65,7 +65,7 @@
     print_table(&header, &backends);
     let publication = answer.publication.as_deref().unwrap_or("none");
     print_text(&format!(
-        "\npublication {publication}; {} open requests, {} kept, {} copies for others\n",
+        "\npublication {publication}; {} open requests, {} stored including ended ones, {} copies for other entries\n",
         answer.open_requests, answer.kept_requests, answer.copies
     ));
 }
--- a/daemon/src/gateway_entry.rs
+++ b/daemon/src/gateway_entry.rs
@@ -52,7 +52,8 @@
 }
 
 /// Reads and checks the settings file again. Applies nothing: changes take effect
-/// only with a restart, and the log line states whether one is needed.
+/// only with a restart. The log line states whether one is needed, so that nobody
+/// assumes that the new settings are in force.
 fn reload(settings: &GatewaySettings, file: &Path, log: &Logger) {
     let name = file.display().to_string();
     let text = match std::fs::read_to_string(file) {
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -29,7 +29,8 @@
 }
 
 /// Serves callers and forwards their requests to backend servers. SIGTERM starts
-/// a planned stop, which lets open requests end or hands them over.
+/// a planned stop, which lets open requests end. With the product's own interface,
+/// requests that are still open after the drain time are handed over to other entries.
 #[derive(Debug, Parser)]
 #[command(name = "cloverbendd", version)]
 struct DaemonArgs {
--- a/daemon/tests/test_config_size.rs
+++ b/daemon/tests/test_config_size.rs
@@ -25,7 +25,7 @@
 use tokio_util::sync::CancellationToken;
 
 const MB: u64 = 1_024 * 1_024;
-/// The maximum memory of the hub: an eighth of its VM's 512 MB.
+/// The limit of the hub's peak memory: an eighth of its VM's 512 MB.
 const MEMORY_LIMIT: ByteCount = ByteCount(64 * MB);
 /// The memory of an entry's VM. A case ends early when the hub uses all of it.
 const VM_MEMORY: ByteCount = ByteCount(512 * MB);
@@ -152,7 +152,7 @@
         self.exhausts_memory(OBSERVATION_TIME).await;
     }
 
-    /// Reads the figures of the hub and prints them.
+    /// Reads the hub's peak memory, sent bytes and revision, and prints them.
     async fn measure(&self, others: usize) -> HubFigures {
         let peak = self.entry.peak_memory().unwrap();
         let sent = self.entry.metric(&self.http, SENT_BYTES_METRIC).await;
--- a/daemon/tests/test_processes.rs
+++ b/daemon/tests/test_processes.rs
@@ -142,7 +142,8 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let notice = Duration::from_secs(3);
     cluster.give_notice("entry-1", notice).await.unwrap();
-    // The entry hands over when half of the notice time is left; kill it during that.
+    // The entry hands over in the last 1.5 s of the notice, here its second half;
+    // kill it during that.
     tokio::time::sleep(notice / 2 + Duration::from_millis(50)).await;
     cluster.entries[0].signal("KILL").unwrap();
     assert_eq!(chat.await.unwrap().unwrap().text, expected);
